--- a/coordination/caller_left.h
+++ b/coordination/caller_left.h
@@ -6,7 +6,7 @@
 
 namespace persimmonstile {
 
-// A caller does not wait any longer; its job goes on.
+// Reports that a caller has stopped waiting. Its job continues.
 struct caller_left {
     job_id job;
     caller_token token = 0;
--- a/coordination/caller_reply.h
+++ b/coordination/caller_reply.h
@@ -9,13 +9,13 @@
 
 namespace persimmonstile {
 
-// The kinds of answer to a caller.
+// The kinds of reply to a caller.
 //   accepted     the job is in the store
 //   refused      the job is not accepted and never runs
-//   uncertain    nobody can tell yet whether the job was accepted, or what its state is
+//   uncertain    it is not known yet whether the job was accepted, or what its state is
 //   state        the state of the job
 //   gone         no such job exists
-//   cancelled    the cancelling is in the store
+//   cancelled    the cancellation is in the store
 enum class caller_reply_kind : std::uint8_t { accepted, refused, uncertain, state, gone, cancelled };
 
 // Why a job was refused.
@@ -46,12 +46,13 @@
     return "none";
 }
 
+// The reply to one request of a caller.
 struct caller_reply {
     caller_token token = 0;
     caller_reply_kind kind = caller_reply_kind::uncertain;
     job_state state = job_state::unknown;
     submit_refusal reason = submit_refusal::none;
-    // After this time a refused job has a better chance.
+    // Delay after which the caller should retry a refused job.
     milliseconds retry_after{0};
 };
 
--- a/coordination/commit.h
+++ b/coordination/commit.h
@@ -18,7 +18,7 @@
     std::shared_ptr<const open_job> record;
 };
 
-// Replaces the record of an open job by one with progress.
+// Replaces the record of an open job by one with its progress.
 struct commit_progress {
     // Session under which the record is kept.
     incarnation keeper;
@@ -27,25 +27,25 @@
     std::uint64_t revision = 0;
 };
 
-// Ends a job for good.
+// Records the final status of a job.
 struct commit_end {
     incarnation keeper;
     job_status status;
 };
 
-// Forgets an ended job.
+// Removes the status of an ended job.
 struct commit_forget {};
 
-// One change to a job's records.
+// One change to the stored records of a job.
 struct commit {
     job_id job;
     std::variant<commit_accept, commit_progress, commit_end, commit_forget> change;
 };
 
-// What became of a commit.
+// The outcome of a commit.
 //   durable    the change is in the store
-//   conflict   the records are not as expected; status tells the present one of an accepted job
-//   abandoned  the store certainly did nothing, and nothing will follow
+//   conflict   a condition on the records failed; for an acceptance, commit_result::present has the stored
+//   status abandoned  the store did not apply the write and never will
 enum class commit_outcome : std::uint8_t { durable, conflict, abandoned };
 
 struct commit_result {
@@ -53,7 +53,7 @@
     commit_outcome outcome = commit_outcome::durable;
     // Revision of the job's record after a durable acceptance or progress.
     std::uint64_t revision = 0;
-    // Of a conflicting acceptance.
+    // Stored status of the job after a conflicting acceptance.
     job_status present;
 };
 
--- a/coordination/connection_shedding.h
+++ b/coordination/connection_shedding.h
@@ -4,11 +4,12 @@
 
 namespace persimmonstile {
 
-// Closes connections of an overloaded process one after the other. Callers keep their connection, so only
-// this makes them go elsewhere; a new connection is work too, and the other processes have to take them.
+// Limits how fast an overloaded process closes its connections. Callers keep their connection open, so they
+// move to another process only when it is closed. Closing is gradual because each new connection costs work
+// and the other processes have to accept it.
 class connection_shedding {
 public:
-    // True if the connection whose answer is sent now is to be closed behind it.
+    // Whether to close the connection after the response that is sent now.
     bool take_one(bool is_overloaded, time_point now) {
         if (!is_overloaded || now < next_)
             return false;
@@ -16,11 +17,11 @@
         return true;
     }
 
-    // Ten connections a second: those of a site's callers are some tens for each entry.
+    // Ten connections per second; the callers of a site hold some tens of connections to each entry.
     static constexpr milliseconds interval{100};
 
 private:
-    // No connection is closed before it.
+    // Earliest time of the next close.
     time_point next_{};
 };
 
--- a/coordination/ended_jobs.h
+++ b/coordination/ended_jobs.h
@@ -11,7 +11,7 @@
 
 namespace persimmonstile {
 
-// Jobs that have ended lately, so that their callers can still ask, and a repeated submission starts nothing.
+// Keeps recently ended jobs, so that callers can still query them and a repeated submission starts nothing.
 class ended_jobs {
 public:
     struct ended_job {
@@ -25,7 +25,7 @@
         order_.emplace_back(now, job);
     }
 
-    // Null if the job has not ended, or long ago.
+    // Null if the job has not ended, or has been removed since.
     const ended_job* find(const job_id& job) const {
         const auto found = jobs_.find(job);
         return found == jobs_.end() ? nullptr : &found->second;
--- a/coordination/job_course.h
+++ b/coordination/job_course.h
@@ -11,9 +11,9 @@
 
 struct ledger_job;
 
-// What became of a job so far, as the inputs of a log line that explains a failed or late request: its queue,
-// the time since its acceptance and until its first placement in microseconds (placed_us is left out if there
-// was none), its tasks and how many are done, its runs and how many of them failed.
+// Summarizes a job for a log line that explains a failed or late request: its queue, the time since its
+// acceptance and until its first placement in microseconds (placed_us is left out if there was none), the
+// number of tasks and of those done, and the number of runs and of those that failed.
 std::vector<std::pair<std::string_view, decision::value>> course_of(const ledger_job& job, time_point now);
 
 } // namespace persimmonstile
--- a/coordination/late_job_patience.cpp
+++ b/coordination/late_job_patience.cpp
@@ -4,14 +4,14 @@
 
 namespace {
 
-// Late jobs are passed over for so long before they are refused: about twice the objective of the shortest
-// jobs (156 ms), so that short bursts, after which they can still be served, refuse hardly any.
+// Late jobs are refused after they have been passed over for this long: about twice the latency objective of
+// the shortest jobs (156 ms), so that short bursts, after which they can still be served, refuse hardly any.
 constexpr milliseconds patience{300};
 
-// Runs of others that must have begun meanwhile; fewer can be chance, or show a stall.
+// Minimum number of other runs started meanwhile; fewer can be chance, or a sign of a stall.
 constexpr std::size_t least_others_begun = 8;
 
-// When no late job has waited for so long, the rush is over.
+// The overload has ended if no late job was passed over for this long.
 constexpr milliseconds memory{500};
 
 } // namespace
--- a/coordination/late_job_patience.h
+++ b/coordination/late_job_patience.h
@@ -7,16 +7,16 @@
 
 namespace persimmonstile {
 
-// Decides how long jobs that will be late wait for room. After a stall of the backend servers the room comes
-// back and they are served late; in a rush beyond capacity all room goes to jobs that can still be in time,
-// and waiting only delays their refusal. The two differ in whether others are begun meanwhile.
+// Decides how long jobs that will be late wait for capacity. After a stall of the backend servers capacity
+// returns and they are served late. Under load beyond capacity, all of it goes to jobs that can still be in
+// time, and waiting only delays the refusal. The two cases differ in whether other jobs start meanwhile.
 class late_job_patience {
 public:
-    // A late job got room, or none waits.
+    // A late job was placed, or none is waiting.
     void served() { starved_since_.reset(); }
-    // Late jobs found no room in a plan that began so many runs of others.
+    // A plan placed no late job but started others_begun runs of other jobs.
     void passed_over(std::size_t others_begun, time_point now);
-    // Late jobs that find no room are to be refused at once.
+    // Whether late jobs that cannot be placed are to be refused at once.
     bool is_over(time_point now) const;
 
 private:
--- a/coordination/overload_watch.h
+++ b/coordination/overload_watch.h
@@ -4,23 +4,24 @@
 
 namespace persimmonstile {
 
-// Figures by which a process judges whether it has more to do than its processor carries.
+// Thresholds for detecting that a process has more work than its processor can handle.
 struct overload_limits {
-    // A process whose timers are all late by this much has a standing queue of events. Far above the time of
-    // a single event, and a part of the shortest objective of callers.
+    // If all timers are late by this much, events are queuing up. Far above the time of a single event, and
+    // a fraction of the callers' shortest latency objective.
     milliseconds late{40};
-    // For so long no timer may have been on time. Longer than any single piece of work.
+    // All timers must be late for this long before the process is overloaded. Longer than any single work
+    // item.
     milliseconds judged_over{250};
-    // Without load for so long at first, and for twice as long each time it comes back too soon.
+    // Recovery time after an overload. Doubles, up to the maximum, each time the overload recurs too soon.
     milliseconds shortest_rest{2000};
     milliseconds longest_rest{8000};
-    // An overload that comes this long after the last one has another cause.
+    // An overload that begins this long after the last one ended is treated as unrelated.
     milliseconds forgotten_after{15000};
 };
 
-// Tells from the lateness of timers whether a process is overloaded and should be given less to do. A queue
-// that drains now and then is usual; one that stands for a while means that more comes than is carried. After
-// an overload the process rests for a while before it counts as able again, so that it does not swing.
+// Detects from late timers that a process is overloaded and should receive less load. A queue that drains now
+// and then is normal; one that persists means that work arrives faster than it is handled. After an overload
+// the process stays marked for a recovery time (hysteresis), so that the state does not oscillate.
 class overload_watch {
 public:
     explicit overload_watch(const overload_limits& limits = {})
@@ -36,7 +37,7 @@
 
     overload_limits limits_;
     bool is_overloaded_ = false;
-    // Since then all timers were late; time_point::max() if the last one was not.
+    // Start of the current series of late timers; time_point::max() if the last timer was on time.
     time_point late_since_ = time_point::max();
     time_point rests_until_{};
     milliseconds rest_{0};
--- a/coordination/run_table.h
+++ b/coordination/run_table.h
@@ -8,7 +8,7 @@
 
 namespace persimmonstile {
 
-// The runs that an agent knows, with the sums of their needs.
+// Holds the runs that an agent knows and keeps the sums of their resource needs.
 class run_table {
 public:
     run_record* find(const run_ref& run);
--- a/coordination/waiting_callers.h
+++ b/coordination/waiting_callers.h
@@ -13,20 +13,20 @@
 // A caller that waits for a job's acceptance or end.
 struct waiting_caller {
     caller_token token = 0;
-    // Then it is told what is known.
+    // Deadline of the reply; the caller then gets the state known so far.
     time_point answer_by{};
-    // It wants the job cancelled.
+    // The caller asked for the job to be cancelled.
     bool is_cancel = false;
 };
 
-// Callers by the job that they wait for.
+// Holds the waiting callers of each job until they are answered, expire or leave.
 class waiting_callers {
 public:
     void add(const job_id& job, const waiting_caller& caller) { callers_[job].push_back(caller); }
 
     // Removes and returns all callers of the job.
     std::vector<waiting_caller> take(const job_id& job);
-    // Removes and returns all callers whose time is over, with their jobs.
+    // Removes and returns all expired callers, with their jobs.
     std::vector<std::pair<job_id, waiting_caller>> take_expired(time_point now);
     std::vector<std::pair<job_id, waiting_caller>> take_all();
 
