--- a/coordination/commit_queue.cpp
+++ b/coordination/commit_queue.cpp
@@ -9,29 +9,30 @@
 
 namespace {
 
-// The store takes at most this many conditions, values and removals in one write.
+// Maximum number of conditions, values and removals that the store accepts in one write.
 constexpr std::size_t most_entries = 32;
 
-// Records of one write, so that a value limit of the store and its parsing time stay far away.
+// Maximum size of the records in one write; far below the store's value limit, and short to parse.
 constexpr std::size_t most_batch_bytes = std::size_t{256} * 1024;
 
-// Writes on their way at the same time. One is enough for a store that answers within milliseconds; more keep
-// the throughput when it is slow.
+// Maximum number of writes in flight. One is enough for a store that answers within milliseconds; more
+// maintain the throughput when it is slow.
 constexpr std::size_t most_parallel_writes = 4;
 
-// While a write is on its way, the next one follows after this time even if it is not full.
+// While a write is in flight, the next one is sent after this time even if it is not full.
 constexpr milliseconds longest_collection{25};
 
-// The store answers within 4 ms plus the way; before the first sample a slow start of the process counts too.
+// The store answers within 4 ms plus the network round trip. The initial timeout also allows for a slow start
+// of the process.
 constexpr milliseconds first_timeout{150};
 constexpr milliseconds shortest_timeout{50};
 constexpr milliseconds longest_timeout{1000};
 
-// Pause after a refusal that says that nothing was done.
+// Retry delay after a failure that says that the write was not applied.
 constexpr milliseconds refusal_pause{40};
 
-// An acceptance that was certainly not carried out within this time is abandoned, so that its caller can be
-// told.
+// An acceptance that has certainly not been applied within this time is abandoned, so that its caller gets a
+// reply.
 constexpr milliseconds acceptance_patience{250};
 
 bool is_accept(const commit& what) {
@@ -78,7 +79,7 @@
     queue_.push_back(std::move(what));
 }
 
-// Conditions, values and removals of a commit.
+// Counts the conditions, values and removals of a commit.
 std::size_t commit_queue::entries_of(const commit& what) {
     if (is_accept(what))
         return 3;
@@ -177,7 +178,7 @@
         return false;
     }
     failing_since_.reset();
-    // An answer to a repeated write may belong to any of its attempts and tells nothing about the time.
+    // The answer to a retried write may belong to any attempt, so it is no round-trip sample.
     if (ended.attempts == 1)
         round_trip_.answered(now - ended.sent);
     bool is_deposed = false;
@@ -196,8 +197,8 @@
         results_.push_back({std::move(done), commit_outcome::durable, reply.revision, {}});
 }
 
-// Nothing of the write took effect now. Commits whose conditions failed are answered, the others follow with
-// the next write. An acceptance that finds its own record was carried out by an earlier attempt.
+// This attempt changed nothing. Commits whose conditions failed get a result; the others go into the next
+// write. An acceptance that finds its own record was applied by an earlier attempt.
 bool commit_queue::settle_conflict(batch& failed, const write_conflict& reply, time_point) {
     const store_item* entry = find_item(reply, entry_key(session_.name));
     if (entry == nullptr || entry->revision != entry_revision_)
@@ -228,7 +229,7 @@
         } else if (present->progress == progress->record->progress) {
             results_.push_back({std::move(what), commit_outcome::durable, item->revision, {}});
         } else {
-            // Only this session writes the record, so the expected revision was out of date.
+            // Only this session writes the record, so the expected revision was stale.
             commit_progress current = *progress;
             current.revision = item->revision;
             again.push_back({what.job, current});
@@ -253,7 +254,7 @@
         give_up(failed);
 }
 
-// Takes the acceptances out of a write that was certainly not carried out. The rest has to be written anyway.
+// Abandons the acceptances of a write that was certainly not applied. The other commits are still retried.
 void commit_queue::give_up(batch& failed) {
     std::vector<commit> rest;
     for (commit& what : failed.commits) {
--- a/coordination/commit_queue.h
+++ b/coordination/commit_queue.h
@@ -14,10 +14,10 @@
 
 namespace persimmonstile {
 
-// Group commit of the changes to job records. Collects what arrives while writes are on their way, and sends
-// it as one conditional write. Every write has the condition that the session still holds its entry record,
-// so a deposed session changes nothing. A write without an answer may take effect at any later time; it is
-// sent again unchanged until an answer tells, and its conditions make it take effect once.
+// Group commit of the changes to job records. Collects commits while writes are in flight and sends them as
+// one conditional write. Every write requires that the session still holds its entry record, so a deposed
+// session cannot change anything. An unanswered write may still take effect at any later time. It is retried
+// unchanged until the store answers, and its conditions ensure that it takes effect only once.
 class commit_queue {
 public:
     struct write {
@@ -28,22 +28,22 @@
 
     commit_queue();
 
-    // The session under which commits are made from now on. Commits of an earlier session are dropped.
+    // Sets the session under which commits are made. Pending commits of an earlier session are dropped.
     void set_session(const incarnation& session, std::uint64_t entry_revision);
     void clear_session();
     bool has_session() const { return entry_revision_ != 0; }
 
     void add(commit what, time_point now);
 
-    // Takes the reply to a write. True if the session turned out to be deposed.
+    // Processes the reply to a write. Returns true if it shows that the session is deposed.
     bool replied(std::uint64_t id, const store_reply& reply, time_point now);
 
-    // Writes to be sent now.
+    // Returns the writes to send now.
     std::vector<write> take_writes(time_point now);
     std::vector<commit_result> take_results();
     std::optional<time_point> next_wakeup() const;
 
-    // The store refused or ignored every call since then; empty if the last one was answered.
+    // Start of the current series of failed or unanswered calls; empty if the last call was answered.
     std::optional<time_point> failing_since() const { return failing_since_; }
     bool is_empty() const { return queue_.empty() && batches_.empty(); }
 
@@ -53,9 +53,9 @@
         store_write call;
         time_point created{};
         time_point sent{};
-        // Not on its way; to be sent at this time.
+        // Time of the next attempt; empty while the write is in flight.
         std::optional<time_point> send_at;
-        // An attempt got no answer, so it may take effect later.
+        // An attempt got no answer and may still take effect.
         bool is_in_doubt = false;
         unsigned attempts = 0;
     };
@@ -64,7 +64,7 @@
     void append(store_write& call, const commit& what) const;
     void fill(batch& next);
     void finish(batch& ended, const write_applied& reply);
-    // False if the session is deposed.
+    // Returns false if the session is deposed.
     bool settle_conflict(batch& failed, const write_conflict& reply, time_point now);
     void retry(batch& failed, const store_failure& failure, time_point now);
     void give_up(batch& failed);
--- a/coordination/entry_output.h
+++ b/coordination/entry_output.h
@@ -15,20 +15,20 @@
 
 namespace persimmonstile {
 
-// A call to the store, with the time after which it counts as unanswered.
+// A call to the store and its timeout.
 struct store_request {
     std::uint64_t id = 0;
     store_call call;
     milliseconds timeout{0};
 };
 
-// What an entry does in consequence of an event.
+// The actions that an entry takes after an event.
 struct entry_output {
     std::vector<store_request> store_calls;
     std::vector<std::pair<link_number, work_message>> messages;
     std::vector<caller_reply> replies;
     std::vector<decision> decisions;
-    // Measured times, for metrics.
+    // Measured durations, for metrics.
     std::vector<std::pair<entry_timing, std::chrono::nanoseconds>> timings;
 };
 
--- a/coordination/job_ledger.cpp
+++ b/coordination/job_ledger.cpp
@@ -80,14 +80,14 @@
     if (task == nullptr || task->phase == task_phase::done)
         return report_effect::nothing;
     const run_number run = report.run.run;
-    // A run that this owner did not start is one of a deposed owner; the newest counts.
+    // A run that this owner did not start was started by a deposed owner; the newest run counts.
     if (task->phase == task_phase::waiting && run > task->run) {
         task->run = run;
         task->agent = agent;
         set_phase(job, *task, task_phase::placed);
         task->placed = now;
     }
-    // A run that was given up may have ended with success before its lease ran out.
+    // A run that was presumed lost may have succeeded before its lease expired.
     if (report.state == run_state::done && run == task->run && task->phase == task_phase::waiting)
         set_phase(job, *task, task_phase::running);
     if (run != task->run || task->agent != agent ||
--- a/coordination/job_ledger.h
+++ b/coordination/job_ledger.h
@@ -13,16 +13,15 @@
 
 namespace persimmonstile {
 
-// What a report meant for a task.
+// The effect of a report on a task.
 //   nothing   not about the task's newest run, or nothing new
 //   started   the run was confirmed
 //   done      the task is done
-//   failed    the run ended by its own fault or the backend server's
+//   failed    the run failed through its own fault or the backend server's
 //   waiting   the run ended without a result and the task may run again
 enum class report_effect : std::uint8_t { nothing, started, done, failed, waiting };
 
-// The jobs that an entry owns, and what it believes of their tasks. Keeps ended jobs for a while, because
-// callers ask for them.
+// Holds the jobs that an entry owns and the state of their tasks as known from the agents' reports.
 class job_ledger {
 public:
     // The job must be unknown.
@@ -37,11 +36,11 @@
 
     // Changes the phase of a task of the job.
     static void set_phase(ledger_job& job, ledger_task& task, task_phase phase);
-    // Takes what an agent reports of a run.
+    // Applies an agent's report on a run to its task.
     static report_effect take_report(ledger_job& job, const run_report& report, agent_number agent,
                                      time_point now);
 
-    // The tasks of the step may run: earlier steps are done.
+    // Whether the tasks of the step may run: the steps it depends on are done.
     static bool is_ready(const ledger_job& job, const ledger_occurrence& occurrence, std::uint32_t step);
     // Calls visit for each waiting task that may be placed.
     static void for_each_placeable(
@@ -49,10 +48,10 @@
         const std::function<void(const task_ref& task, const job_step& step, ledger_task& state)>& visit);
     static std::uint32_t count_placeable(ledger_job& job);
 
-    // Begins the occurrences that are due at this calendar time. True if there was one.
+    // Begins the occurrences that are due at this calendar time. Returns whether there was one.
     static bool begin_due(ledger_job& job, std::int64_t calendar_ms);
 
-    // The record with the progress so far.
+    // Returns a copy of the record with the progress so far.
     static std::shared_ptr<const open_job> record_with_progress(const ledger_job& job);
 
     std::unordered_map<job_id, ledger_job>& jobs() { return jobs_; }
--- a/coordination/ledger_job.h
+++ b/coordination/ledger_job.h
@@ -14,14 +14,14 @@
 
 namespace persimmonstile {
 
-// How far a job's records are.
+// The state of a job's records in the store.
 //   accepting  its record is being written; nothing may start
 //   open       its record is in the store
 //   ending     its end is being written
 //   ended      its end is in the store
 enum class job_phase : std::uint8_t { accepting, open, ending, ended };
 
-// A listed end of a run, to be acknowledged once what follows from it is in the store.
+// A reported end of a run, to be acknowledged once its effect on the job is in the store.
 struct unrecorded_end {
     agent_number agent = 0;
     std::uint64_t backend_life = 0;
@@ -40,31 +40,31 @@
 struct ledger_job {
     job_id id;
     std::shared_ptr<const open_job> record;
-    // Of a job that is not kept: its caller waits until then.
+    // Deadline of the reply to the caller of a job that is not kept.
     time_point answer_by = time_point::max();
     // Session under which the record is kept.
     incarnation keeper;
     std::uint64_t revision = 0;
-    // Run numbers of this owner are above it.
+    // The run numbers of this owner are greater than this.
     run_number run_base = 0;
     job_phase phase = job_phase::accepting;
-    // All runs that a deposed owner of the job may have started are known or certainly over. Before that no
-    // task may be placed.
+    // All runs that a deposed owner may have started are known or have certainly ended. No task may be placed
+    // before that.
     bool is_settled = true;
-    // Final once the end was decided.
+    // Final once the end has been decided.
     job_state state = job_state::queued;
-    // When a task was first given to an agent; the job may have begun since.
+    // When a task was first sent to an agent; the job may have started since.
     std::optional<time_point> first_placed;
     // A task has started.
     bool has_begun = false;
     std::map<std::uint32_t, ledger_occurrence> occurrences;
-    // Tasks that wait to be placed, those of steps that are not ready among them.
+    // Tasks waiting to be placed, including those of steps that are not ready.
     std::uint32_t waiting_tasks = 0;
     // Occurrences that are done or running; later ones are not due yet.
     std::uint32_t next_occurrence = 0;
     std::uint32_t occurrences_left = 0;
     std::vector<unrecorded_end> unrecorded;
-    // A record with progress is on its way to the store, made at this time.
+    // A record with progress is being written; progress_made is when it was created.
     bool is_progress_written = false;
     time_point progress_made{};
     time_point accepted{};
--- a/coordination/ledger_task.h
+++ b/coordination/ledger_task.h
@@ -9,29 +9,30 @@
 
 namespace persimmonstile {
 
-// What the owner of a job believes of one task.
+// The phase of a task as the owner of the job knows it.
 //   waiting    may be placed once its step is ready
-//   placed     given to an agent
+//   placed     sent to an agent
 //   running    the agent has confirmed the start
 //   done       ended with success
 enum class task_phase : std::uint8_t { waiting, placed, running, done };
 
-// Numbers an agent within one entry process.
+// Identifies an agent within one entry process.
 using agent_number = std::uint32_t;
 
+// The state of one task at the owner of its job.
 struct ledger_task {
     task_phase phase = task_phase::waiting;
     // The newest run; 0 before the first one.
     run_number run = 0;
-    // Of the newest run, while it is placed or running.
+    // Agent of the newest run, while it is placed or running.
     agent_number agent = 0;
     std::uint32_t failures = 0;
     time_point placed{};
     time_point started{};
     std::string checkpoint;
-    // Agents where a run of the task ended badly; others are preferred.
+    // Agents where a run of the task was unsuccessful; others are preferred.
     std::vector<agent_number> avoided;
-    // The run is being stopped, so that the task can run elsewhere.
+    // The run is being stopped so that the task can run elsewhere.
     bool is_moving = false;
 };
 
