--- a/coordination/entry_agents.cpp
+++ b/coordination/entry_agents.cpp
@@ -73,7 +73,7 @@
     agent.last_reading_ns = std::max(agent.last_reading_ns, reading_ns);
 }
 
-// An entry that may have been deposed without knowing must not keep runs going.
+// An entry that may have been deposed without knowing it must not renew the leases of runs.
 bool entry_core::is_owner_certain(time_point now) const {
     return session().number != 0 && now - keeper_.last_contact() < limits_.store_silence_limit;
 }
@@ -113,7 +113,7 @@
         is_upkeep_needed_ = true;
         return;
     }
-    // What the agent does not know has not started there and never will.
+    // A run that the agent does not know has not started there and never will.
     const bool is_kept = message.owner == session();
     const std::map<run_ref, std::uint64_t> believed = agent->runs;
     for (const auto& [run, start] : believed) {
@@ -126,14 +126,14 @@
     is_plan_needed_ = true;
 }
 
-// Takes over the runs of own jobs that a restarted agent found at its backend server.
+// Claims the runs of own jobs that a restarted agent found on its backend server.
 void entry_core::claim(agent_view& agent, const run_inventory& orphans, time_point now) {
     claim_runs kept{session(), true, {}};
     claim_runs unkept{process_, false, {}};
     for (const run_report& report : orphans.reports) {
         ledger_job* job = ledger_.find(report.run.task.job);
         if (job == nullptr) {
-            // Nobody else will record the end of a job that has ended here.
+            // No other entry will record the end of a job that has ended here.
             if (ended_.find(report.run.task.job) != nullptr && report.awaits_record)
                 acknowledge(agent.number, report.backend_life, report.end_number);
             else
@@ -144,7 +144,7 @@
             (job->is_kept() ? kept : unkept)
                 .runs.push_back({report.run, job->step(report.run.task.step).task_needs});
         take_report(agent, report, now);
-        // Lists that the agent made before the claim do not contain the run.
+        // Inventories that the agent made before the claim do not contain the run.
         const auto run = agent.runs.find(report.run);
         if (run != agent.runs.end())
             run->second = agent_view::claimed;
@@ -155,7 +155,7 @@
     }
 }
 
-// One entry is enough to ask the store.
+// Only the first entry by name queries the store about orphans; one is enough.
 bool entry_core::is_first_entry() const {
     return std::all_of(peers_.begin(), peers_.end(),
                        [&](const auto& entry) { return name_ < entry.second.name; });
@@ -174,7 +174,7 @@
         output_.messages.emplace_back(agent->link, stop_runs{process_, {unclaimed->report.run}});
 }
 
-// The run has ended without a result, or never started.
+// Marks a run as lost: it has ended without a result, or never started.
 void entry_core::lose_run(agent_view& agent, const run_ref& run, time_point now) {
     run_report report;
     report.run = run;
@@ -189,7 +189,7 @@
         agent.runs.erase(report.run);
     ledger_job* job = ledger_.find(id);
     if (job == nullptr) {
-        // The job has ended here, or belongs to another entry by now, which still needs the end.
+        // The job has ended here, or now belongs to another entry, which still needs the end.
         if (report.awaits_record && ended_.find(id) != nullptr)
             acknowledge(agent.number, report.backend_life, report.end_number);
         else if (report.awaits_record)
@@ -287,7 +287,7 @@
     job.unrecorded.clear();
 }
 
-// Runs at an agent that has been away for long enough have ended, whatever happened to it.
+// Expires the runs of agents that have been disconnected for so long that all their leases have expired.
 void entry_core::give_up_unreachable(time_point now) {
     const milliseconds lease = limits_.run_lease_bound();
     for (auto& [number, agent] : agents_.all()) {
--- a/coordination/entry_callers.cpp
+++ b/coordination/entry_callers.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-// A refused caller may come back after this time if nothing better is known.
+// Retry delay for refused callers if no better estimate is available.
 constexpr milliseconds usual_retry{1000};
 
-// A reply has to leave this long before its caller gives up.
+// A reply is sent this long before the caller's timeout.
 constexpr milliseconds reply_margin{40};
 
 } // namespace
@@ -57,7 +57,7 @@
             reply(request.token, caller_reply_kind::accepted, known->state);
         return;
     }
-    // A job that is not kept and comes on a connection that is still open ends before the process does.
+    // A job that is not kept and arrives on a connection that is still open ends before the process does.
     const bool is_servable = !request.plan.is_kept && !keeper_.has_left() && now < hand_over_at_;
     if (now >= refuse_at_ && !is_servable) {
         refuse(request, submit_refusal::shutting_down, milliseconds{0});
@@ -86,7 +86,8 @@
     commits_.add({request.job, commit_accept{record}}, now);
 }
 
-// A job that lives with its caller's call: nothing is written, and its runs end with the last caller.
+// Accepts a job that lasts only as long as its callers wait: nothing is written to the store, and its runs
+// are stopped when the last caller leaves.
 void entry_core::submit_unkept(const job_submission& request, const queue_policy& queue, time_point now) {
     ledger_job& job =
         ledger_.add(request.job, make_record(request, queue, calendar_ms(wall_)), process_, 0, now);
@@ -108,8 +109,8 @@
     ledger_.erase(id);
 }
 
-// Failed and late jobs have texts of their own, so that the limit on equal lines does not leave theirs out
-// among those of the others.
+// Failed and late jobs have separate messages, so that the limit on equal log lines does not suppress them
+// together with those of other jobs.
 void entry_core::note_end(const ledger_job& job, time_point now) {
     auto inputs = course_of(job, now);
     inputs.emplace_back("state", std::string{to_string(job.state)});
@@ -125,7 +126,7 @@
         note("job ended", job.id, std::move(inputs));
 }
 
-// Nobody waits for the job any more.
+// Drops a job that no caller waits for any more.
 void entry_core::drop_unkept(const job_id& id, time_point now) {
     ledger_job* job = ledger_.find(id);
     if (job == nullptr || job->is_kept())
@@ -138,8 +139,8 @@
     is_plan_needed_ = true;
 }
 
-// Given up while none of its tasks was given to an agent, so it is true that the job has not run. Its callers
-// hear so at once and may come back.
+// No task of the job has been sent to an agent, so the job has certainly not run. Its callers are told at
+// once and may retry.
 void entry_core::refuse_waiting(ledger_job& job, std::string_view reason, time_point now) {
     if (job.is_kept() || job.first_placed)
         return;
@@ -165,7 +166,7 @@
             refuse_waiting(job, "caller's time is over", now);
             continue;
         }
-        // Runs may have started, so only this is true.
+        // Runs may have started, so the outcome is uncertain.
         for (const waiting_caller& caller : ending_.take(id))
             reply(caller.token, caller_reply_kind::uncertain);
         drop_unkept(id, now);
@@ -180,7 +181,7 @@
         drop_unkept(*job, now);
 }
 
-// The end of the job is certain.
+// Answers the callers of a job whose end is final.
 void entry_core::answer_waiting(const job_id& job, job_state state) {
     for (const waiting_caller& caller : ending_.take(job))
         reply(caller.token, caller.is_cancel ? caller_reply_kind::cancelled : caller_reply_kind::state,
@@ -202,7 +203,7 @@
         return;
     }
     if (known->phase == job_phase::ending) {
-        // Its end is on the way to the store; the answer is worth the few milliseconds.
+        // The end is being written; waiting a few milliseconds gives the caller the final state.
         ending_.add(job, {token, std::min(now + limits_.ending_wait, answer_by - reply_margin), false});
         return;
     }
@@ -241,13 +242,13 @@
     else if (known != nullptr)
         reply(asked.token, caller_reply_kind::state, known->state);
     else if (asked.is_cancel)
-        // The jobs of a former session are still being read.
+        // The jobs of a former session may not have been read yet.
         reply(asked.token, caller_reply_kind::uncertain);
     else
         reply(asked.token, caller_reply_kind::state, job_state::queued);
 }
 
-// Callers whose time is over get what can be said now.
+// Answers expired callers with the state known so far.
 void entry_core::answer_late(time_point now) {
     for (const auto& [id, caller] : accepting_.take_expired(now))
         reply(caller.token, caller_reply_kind::uncertain);
--- a/coordination/entry_core.cpp
+++ b/coordination/entry_core.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// A silent connection to the store is noticed within this part of the time in which a configuration has to be
-// in force, and the slack of a watch.
+// A silent connection to the store is detected within this fraction of the time in which a configuration has
+// to be in force, plus the slack of a watch.
 constexpr int config_watch_divisor = 2;
 
-// A read of one record; the store answers within milliseconds.
+// Timeout of a read of one record; the store answers within milliseconds.
 constexpr milliseconds read_timeout{150};
 
 } // namespace
@@ -107,7 +107,7 @@
         if (message.is_cancel && known->phase == job_phase::open)
             end_job(*known, job_state::cancelled, now);
         answer.is_known = true;
-        // What is not in the store yet must not be told.
+        // An end that is not in the store yet must not be reported.
         answer.state = known->phase == job_phase::ending ? job_state::running : known->state;
     }
     output_.messages.emplace_back(link, answer);
@@ -204,7 +204,7 @@
         if (ledger_.jobs().empty() || now >= hand_over_at_)
             keeper_.leave(ledger_.jobs().empty(), now);
     }
-    // Placement depends on time too: avoided backend servers return.
+    // Placement also depends on time: avoided backend servers become eligible again.
     is_plan_needed_ = true;
 }
 
@@ -245,7 +245,7 @@
     }
     acknowledgements_.clear();
     collect_store_calls(now);
-    // The keeper's step may have begun a session.
+    // The calls collected above may have begun a session.
     is_upkeep_needed_ = known_session_ != session();
     return std::exchange(output_, {});
 }
--- a/coordination/entry_core.h
+++ b/coordination/entry_core.h
@@ -28,9 +28,9 @@
 
 namespace persimmonstile {
 
-// Decides for an entry: accepts jobs into the store, places their tasks at agents, records their ends, and
-// takes over the jobs of entries that are gone. Deterministic and without I/O; next_session gives the number
-// of each new session.
+// Makes the decisions of an entry: accepts jobs into the store, places their tasks at agents, records their
+// ends, and adopts the jobs of entries that are gone. Deterministic and without I/O; next_session returns the
+// number of each new session.
 class entry_core {
 public:
     // The operators' configuration is stored under keys with config_prefix.
@@ -39,23 +39,24 @@
                const std::string& config_prefix, std::uint64_t seed,
                std::function<std::uint64_t()> next_session);
 
-    // The operators' records have changed, or were read for the first time; to be decoded for set_config.
+    // Whether the operators' records have changed, or were read for the first time, since the last call. The
+    // caller then decodes them for set_config.
     bool take_config_change() { return operator_records_.take_change(); }
     const prefix_view& operator_records() const { return operator_records_; }
     void set_config(std::shared_ptr<const deployment_config> config, time_point now);
     const deployment_config* config() const { return config_.get(); }
 
-    // Callers. Each token gets one reply.
+    // Requests of callers. Each token gets one reply.
     void submit(const job_submission& request, time_point now, wall_time wall);
     void ask_state(caller_token token, const job_id& job, time_point answer_by, time_point now);
     void cancel(caller_token token, const job_id& job, time_point answer_by, time_point now, wall_time wall);
-    // The caller's connection is gone. It gets no reply, and a job that is not kept ends with its last
-    // caller.
+    // The caller's connection was closed, so it gets no reply. A job that is not kept ends when its last
+    // caller leaves.
     void caller_left(caller_token token, time_point now);
-    // Jobs of the queue that were accepted and have not begun, at all entries.
+    // Number of jobs of the queue that are accepted and have not begun, at all entries.
     std::uint64_t pending(const std::string& queue) const;
 
-    // Connections. A dialed one leads to another entry.
+    // Connections. One that this process dialed leads to another entry.
     void link_opened(link_number link, bool is_dialed, time_point now);
     void link_closed(link_number link);
     void received(link_number link, const work_message& message, time_point now, wall_time wall);
@@ -66,12 +67,12 @@
     time_point next_wakeup(time_point now) const;
     entry_output take_output(time_point now);
 
-    // New connections are welcome.
+    // Whether new connections should be opened to this entry.
     bool is_ready() const;
-    // Refuses new jobs that are kept from refuse_at on, and the others when the session is left: when all
-    // jobs have ended, or at hand_over_at, when the open ones are handed to the other entries.
+    // Refuses new kept jobs from refuse_at on, and the other new jobs once the entry leaves its session. It
+    // leaves when all jobs have ended, or at hand_over_at, when open jobs are handed to the other entries.
     void begin_shutdown(time_point refuse_at, time_point hand_over_at, time_point now);
-    // Answers all callers that still wait, because the process ends now.
+    // Answers all callers that still wait; called right before the process exits.
     void answer_all();
     bool has_left() const { return keeper_.has_left(); }
     bool is_shutting_down() const { return is_shutting_down_; }
@@ -129,7 +130,7 @@
     void note_end(const ledger_job& job, time_point now);
     void drop_unkept(const job_id& id, time_point now);
     void drop_expired(time_point now);
-    // The job waits for its first room; one that is kept or was placed is left as it is.
+    // Refuses a job that waits for its first placement. Does nothing if the job is kept or was placed.
     void refuse_waiting(ledger_job& job, std::string_view reason, time_point now);
     const incarnation& owner_of(const ledger_job& job) const;
     void write_progress(time_point now);
@@ -189,11 +190,11 @@
 
     std::map<link_number, peer_state> peers_;
     ended_jobs ended_;
-    // Callers that wait for the acceptance of a job, and for its end.
+    // Callers waiting for the acceptance of a job, and for its end.
     waiting_callers accepting_;
     waiting_callers ending_;
     orphan_runs orphans_;
-    // Ends to be acknowledged, by agent and life.
+    // Numbers of the ends to be acknowledged, by agent and life of its backend server.
     std::map<std::pair<agent_number, std::uint64_t>, std::vector<std::uint64_t>> acknowledgements_;
 
     std::uint64_t last_store_id_ = 0;
@@ -202,11 +203,11 @@
     time_point last_count_{};
     std::map<std::string, std::uint64_t> told_counts_;
     std::uint64_t told_config_revision_ = 0;
-    // Addresses of the entries as the agents were told, and the version of the members that they are from.
+    // Entry addresses last sent to the agents, and the version of the members that they are from.
     std::vector<std::string> told_addresses_;
     std::uint64_t told_members_version_ = 0;
     bool is_plan_needed_ = false;
-    // Time has passed, the store has answered, or the members have changed, so sessions have to be looked at.
+    // Time has passed, the store has replied, or the members have changed, so sessions have to be updated.
     bool is_upkeep_needed_ = true;
     bool is_shutting_down_ = false;
     time_point refuse_at_ = time_point::max();
--- a/coordination/entry_jobs.cpp
+++ b/coordination/entry_jobs.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// A refused caller may come back after this time if nothing better is known.
+// Retry delay for refused callers if no better estimate is available.
 constexpr milliseconds usual_retry{1000};
 
 } // namespace
@@ -50,7 +50,7 @@
     }
 }
 
-// Ends of jobs that go on are recorded with their progress, so that they can be acknowledged.
+// Records the progress of open jobs, so that the ends of their runs can be acknowledged.
 void entry_core::write_progress(time_point now) {
     for (auto& [id, job] : ledger_.jobs()) {
         if (job.phase != job_phase::open || job.unrecorded.empty() || job.is_progress_written ||
@@ -89,7 +89,7 @@
     if (result.outcome != commit_outcome::durable)
         return;
     job->revision = result.revision;
-    // Ends that came after the record was made wait for the next one.
+    // Ends reported after the record was created are covered by the next one.
     std::vector<unrecorded_end> later;
     for (const unrecorded_end& end : job->unrecorded) {
         if (end.reported <= job->progress_made)
@@ -107,7 +107,7 @@
     if (job == nullptr)
         return;
     if (job->phase != job_phase::accepting) {
-        // It was adopted meanwhile, so it has been accepted whatever became of this write.
+        // The job was adopted meanwhile, so it is accepted whatever the outcome of this write.
         for (const waiting_caller& caller : callers)
             reply(caller.token, caller_reply_kind::accepted, job->state);
         return;
--- a/coordination/entry_sessions.cpp
+++ b/coordination/entry_sessions.cpp
@@ -8,12 +8,13 @@
 
 namespace {
 
-// Run numbers that one owner of a job may use before its successor's begin.
+// Size of the range of run numbers of one owner of a job; the range of its successor follows.
 constexpr run_number runs_per_owner = 1'000'000;
 
 } // namespace
 
-// Follows the keeper: a session has begun or was lost, other entries came or went, jobs were adopted.
+// Applies the changes that the session keeper reports: a session has begun or was lost, other entries joined
+// or left, jobs were adopted.
 void entry_core::keep_sessions(time_point now) {
     std::set<incarnation> connected;
     for (const auto& [link, peer] : peers_)
@@ -81,15 +82,15 @@
             const ledger_job* known = ledger_.find(id);
             if (record == nullptr || (known != nullptr && known->phase != job_phase::accepting))
                 continue;
-            // Its caller hands it in again; the store will refuse that acceptance, and the job is here
-            // already.
+            // The caller has resubmitted the job. The store will refuse that acceptance, since the job is
+            // already accepted and is adopted here.
             ledger_.erase(id);
             ledger_job& job = ledger_.add(id, std::make_shared<open_job>(*record), former,
                                           adopted.record.depth * runs_per_owner, now);
             job.phase = job_phase::open;
             job.revision = item.revision;
             job.is_settled = false;
-            // Time that passed before the adoption counts for the caller.
+            // The time before the adoption counts towards the caller's waiting time.
             const milliseconds age{
                 std::clamp<std::int64_t>(calendar_ms(wall_) - record->accepted_ms, 0, 600000)};
             job.accepted = now - age;
@@ -108,8 +109,8 @@
         found->second.unanswered.erase(agent);
 }
 
-// A session that adopted the jobs meanwhile, and is adopted itself, may have started runs of them; its depth
-// is smaller, and all of them are adopted together.
+// A session that had adopted the jobs and is now adopted itself may have started runs of them. Its adoption
+// has a smaller depth and must be settled first; all of them are adopted together.
 bool entry_core::may_settle(const succession& state, time_point now) const {
     const bool is_waiting = std::any_of(successions_.begin(), successions_.end(), [&](const auto& other) {
         return !other.second.is_settled && other.second.record.depth < state.record.depth;
@@ -123,7 +124,7 @@
         succession& state = it->second;
         if (!state.is_settled && may_settle(state, now)) {
             state.is_settled = true;
-            // Others may have waited for this one.
+            // Other successions may have been waiting for this one.
             is_upkeep_needed_ = true;
             note("runs of a former session are settled", {},
                  {{"former", session_text(it->first)},
