--- a/coordination/job_record.h
+++ b/coordination/job_record.h
@@ -16,10 +16,10 @@
 
 namespace persimmonstile {
 
-// Where a task of a job stands, as its owner knows it.
+// The state of a task as the owner of its job knows it.
 enum class task_phase : std::uint8_t { waiting, dispatched, done };
 
-// One task of a job at its owner. agent and attempt are those of the latest dispatch.
+// One task of a job at its owner; agent and attempt belong to the latest dispatch.
 struct owned_task {
     task_phase phase = task_phase::waiting;
     std::uint32_t attempt = 0;
@@ -27,13 +27,14 @@
     std::string answer;
 };
 
-// admitting  the scheduler has not decided on admission yet
-// querying   agents are asked what they know of the job after a takeover
-// running    tasks wait or run
-// ended      the outcome is fixed
+// The phase of a job at its owner.
+//   admitting  the scheduler has not decided on admission yet
+//   querying   after a takeover, agents are asked for the state of the job
+//   running    tasks are waiting or running
+//   ended      the outcome is final
 enum class job_phase : std::uint8_t { admitting, querying, running, ended };
 
-// One job at its owner, kept until the deduplication window after its end has passed.
+// One job at its owner, retained until the deduplication window after its end has passed.
 struct job_record {
     std::shared_ptr<const job_spec> spec;
     std::string traceparent;
@@ -48,8 +49,8 @@
     std::size_t done_count = 0;
     // Outstanding tasks for each agent.
     std::map<incarnation, std::uint32_t> outstanding;
-    // Agents that have not answered query_job yet, and whether any task turned out to have been accepted
-    // somewhere.
+    // Agents that have not answered query_job yet, and whether any agent reported that it had accepted a
+    // task.
     std::set<incarnation> unanswered;
     bool found_by_query = false;
     std::vector<caller_token> callers;
--- a/coordination/submission.h
+++ b/coordination/submission.h
@@ -11,7 +11,8 @@
 
 namespace persimmonstile {
 
-// A submission that passed the syntax checks. idempotent and default_deadline_ms come from the configuration.
+// A job submission that passed the syntax checks. idempotent and default_deadline_ms come from the
+// configuration.
 struct submission {
     job_id job;
     std::shared_ptr<const job_spec> spec;
