--- a/coordination/commit.h
+++ b/coordination/commit.h
@@ -44,8 +44,8 @@
 
 // The outcome of a commit.
 //   durable    the change is in the store
-//   conflict   a condition on the records failed; for an acceptance, commit_result::present has the stored
-//   status abandoned  the store did not apply the write and never will
+//   conflict   a condition on the records failed; commit_result::present has the stored status
+//   abandoned  the store did not apply the write and never will
 enum class commit_outcome : std::uint8_t { durable, conflict, abandoned };
 
 struct commit_result {
