--- a/coordination/admission.cpp
+++ b/coordination/admission.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-// Agents connect within a second of their start; a new entry learns of them in that time.
+// Agents connect within a second of their start, and a new entry learns of them within that time.
 constexpr std::chrono::milliseconds not_yet_known_retry{200};
-// Backend servers that are gone need a restart or an operator.
+// Backend servers that have left return only after a restart or an operator's action.
 constexpr std::chrono::milliseconds none_left_retry{2000};
 
 constexpr std::chrono::milliseconds shortest_retry{100};
 constexpr std::chrono::milliseconds longest_retry{30000};
 
-// A team may fill this multiple of the free places. One team alone can hold 80% of the queue, k teams
-// together 4k/(4k+1), and a team with an empty queue always finds room.
+// A team may use up to this multiple of the free queue capacity. One team alone can hold 80% of the queue,
+// and k teams together 4k/(4k+1). A team with an empty queue always finds capacity.
 constexpr double queue_part_factor = 4;
 
 job_failed refuse(std::string detail, std::chrono::milliseconds retry_after, bool at_capacity) {
@@ -36,7 +36,7 @@
 // Upper bound on the time until the last task of the job starts, in seconds.
 double expected_wait(const admission_load& load, std::size_t tasks) {
     const double rate = std::max(load.rate, 1e-9);
-    // Later, smaller jobs pass the job while it waits, but for no longer than the passing time.
+    // Smaller jobs that arrive later overtake the job while it waits, but only up to the limit passing_time.
     const double undisturbed = wait_without_passing(load, tasks);
     const double while_waiting = undisturbed / (1 - std::min(load.smaller_load, 0.99));
     const double passing = load.passing_time * static_cast<double>(tasks) / rate;
--- a/coordination/admission.h
+++ b/coordination/admission.h
@@ -12,39 +12,39 @@
 
 namespace persimmonstile {
 
-// What is known of the backend servers of a job's service.
+// State of the backend servers of a job's service, as far as this entry knows it.
 enum class service_presence : std::uint8_t { serving, none_left, not_yet_known };
 
-// Load of a service as one job finds it. Times in seconds, rates in tasks per second for this entry.
+// Load of a service when a job arrives. Times are in seconds, rates in tasks per second for this entry.
 struct admission_load {
-    // Waiting tasks of the service, of the job's team, and of those the ones that go before the job.
+    // Waiting tasks of the service, those of the job's team, and those of the team that run before the job.
     std::size_t service_waiting = 0;
     std::size_t team_waiting = 0;
     double team_ahead = 0;
     double rate = 0;
-    // Part of the rate that the team gets at least while all teams with waiting jobs compete.
+    // Minimum fraction of the rate that the team gets while all teams with waiting jobs compete.
     double team_part = 1;
-    // Bound on the team's rate through max_running, 0 if none.
+    // Maximum rate of the team because of max_running; 0 if there is no limit.
     double team_rate_limit = 0;
-    // Part of the rate that smaller jobs take up, and for how long they may pass the job, as a multiple of
-    // the time that it takes alone.
+    // Fraction of the rate that smaller jobs use, and for how long they may overtake the job. The latter is a
+    // multiple of the time that the job takes alone.
     double smaller_load = 0;
     double passing_time = 0;
-    // Mean run time of tasks like those of the job; 0 while there are too few samples to judge.
+    // Mean run time of tasks of the job's class; 0 while there are too few samples.
     double run_seconds = 0;
-    // Several teams exist, so one must not take the whole queue.
+    // True if several teams exist, so that one team must not use the whole queue.
     bool shares_queue = false;
 };
 
-// Refuses a job that can never run, or not until an agent appears.
+// Refuses a job that can never run, or that cannot run until an agent connects.
 std::optional<job_failed> check_runnable(const fleet_view* fleet, const job_spec& spec,
                                          service_presence presence);
 
-// Refuses a job for which the queue has no room.
+// Refuses a job that exceeds the free capacity of the queue.
 std::optional<job_failed> check_queue(const admission_load& load, std::uint32_t queue_limit,
                                       std::size_t tasks);
 
-// Upper bound on the time until the last task of the job starts, in seconds, if no later job goes first.
+// Upper bound on the time until the last task of the job starts, in seconds, if no later job overtakes it.
 double wait_without_passing(const admission_load& load, std::size_t tasks);
 
 // Refuses a job that is not expected to end within the time left.
--- a/coordination/admission_decision.h
+++ b/coordination/admission_decision.h
@@ -10,12 +10,11 @@
 
 // admitted   the scheduler queued the job's tasks
 // refused    the scheduler refused the job
-// abandoned  the scheduler refused the job, but this entry's grants had lapsed: its successor may be running
-// the job,
-//            so the callers are sent there instead of being told not_run
+// abandoned  the scheduler refused the job after this entry's grants had expired. The successor may be
+//            running the job, so callers are sent there instead of being told not_run.
 enum class admission_result : std::uint8_t { admitted, refused, abandoned };
 
-// The result of the admission that a queue_request asked for.
+// Result of the admission check that a queue_request asked for.
 struct admission_decision {
     job_id job;
     admission_result result = admission_result::admitted;
--- a/coordination/admission_job_mix.h
+++ b/coordination/admission_job_mix.h
@@ -7,7 +7,7 @@
 
 namespace persimmonstile {
 
-// How the tasks of recent jobs are distributed over the size classes.
+// Distribution of the tasks of recent jobs over the size classes.
 class admission_job_mix {
 public:
     void add(std::size_t size_class, std::size_t tasks) {
@@ -20,7 +20,7 @@
         total_ /= 2;
     }
 
-    // Part of the tasks that belong to jobs of smaller classes.
+    // Fraction of the tasks that belong to jobs of smaller classes.
     double part_below(std::size_t size_class) const {
         double below = 0;
         for (std::size_t i = 0; i < size_class; ++i)
@@ -29,7 +29,8 @@
     }
 
 private:
-    // Some tens of the largest jobs, so that a single one does not change the picture.
+    // The counts are halved at this total. It is some tens of the largest jobs, so that a single job has
+    // little effect on the distribution.
     static constexpr double remembered_tasks = 20000;
 
     std::array<double, fair_queue::size_classes> counts_{};
--- a/coordination/admission_retry_budget.h
+++ b/coordination/admission_retry_budget.h
@@ -8,8 +8,8 @@
 
 namespace persimmonstile {
 
-// Limits how many tasks are sent again to a part of the load, so that refusals cannot multiply the messages
-// of an overloaded system.
+// Limits retried tasks to a fraction of the load, so that refusals cannot multiply the messages of an
+// overloaded system.
 class admission_retry_budget {
 public:
     // Every assigned task earns a tenth of a retry.
@@ -23,7 +23,7 @@
         return granted;
     }
 
-    // When the next retry is available at the latest.
+    // Latest time at which the next retry becomes available.
     time_point next_available() const {
         const double missing = std::max(0.0, 1 - tokens_);
         const std::chrono::duration<double> wait{missing / retries_per_second};
@@ -33,9 +33,9 @@
 
 private:
     static constexpr double retries_per_task = 0.1;
-    // Keeps single refusals under low load from waiting for other load.
+    // Lets single refused tasks under low load be retried without waiting for other tasks.
     static constexpr double retries_per_second = 2;
-    // Allows short bursts, such as the tasks of one agent that has just become full.
+    // Allows short bursts, such as the tasks of one agent that has just reached its capacity.
     static constexpr double reserve = 20;
 
     void refill(time_point now) {
--- a/coordination/assignment.h
+++ b/coordination/assignment.h
@@ -8,8 +8,8 @@
 
 namespace persimmonstile {
 
-// The scheduler's decision: send these waiting tasks of one job to this agent. revision is that of the
-// configuration in use, which the dispatch names.
+// Decision of the scheduler to send these waiting tasks of one job to this agent. revision is the revision of
+// the configuration in use; the dispatch contains it.
 struct assignment {
     job_id job;
     incarnation agent;
--- a/coordination/fair_queue.h
+++ b/coordination/fair_queue.h
@@ -10,15 +10,15 @@
 
 namespace persimmonstile {
 
-// Order of the waiting jobs of one service: start-time fair queuing between teams by share, and within a
-// team single requests before jobs, each in the order of a key. Every operation costs the logarithm of the
-// number of teams or of the team's jobs.
+// Orders the waiting jobs of one service. Teams share the service by start-time fair queuing, weighted by
+// their shares. Within a team single requests go before jobs, and each kind is ordered by a key. The cost of
+// every operation is logarithmic in the number of teams or of the team's jobs.
 class fair_queue {
 public:
     using team_number = std::uint32_t;
     using job_number = std::uint32_t;
 
-    // Place of a job within its team. The same value must be given to add and remove.
+    // Sort key of a job within its team. add and remove must get the same value.
     struct position {
         bool is_request = false;
         double order = 0;
@@ -30,13 +30,13 @@
     };
 
     void set_share(team_number team, double share);
-    // A blocked team keeps its jobs and is passed over.
+    // A blocked team keeps its waiting jobs, but next() skips it.
     void set_blocked(team_number team, bool blocked);
 
     void add(team_number team, job_number job, position where);
     void remove(team_number team, job_number job, position where);
 
-    // The job whose task comes next.
+    // The job whose task is to be taken next.
     std::optional<selection> next() const;
     // Accounts for one task taken from the selected job. seconds is its expected run time.
     void charge(const selection& taken, bool is_request, double seconds);
@@ -47,16 +47,16 @@
     static constexpr std::size_t size_classes = 12;
     static std::size_t size_class(bool is_request, std::size_t tasks);
 
-    // Counts waiting tasks of the team, by the size class of their job.
+    // Changes the number of the team's waiting tasks in the size class of their job.
     void change_waiting(team_number team, std::size_t size_class, std::int64_t difference);
     std::size_t waiting(team_number team) const;
-    // Expected number of waiting tasks that go before a new job of the class. Jobs of a larger class do so if
-    // they have waited for the difference of their orders: order_per_task for each task that they have more.
-    // The waiting ones have waited for up to longest_wait. Both in the unit of position::order.
+    // Expected number of waiting tasks that run before a new job of the class. A job of a larger class runs
+    // first if it has waited at least order_per_task for each task that it has more. Waiting jobs are assumed
+    // to have waited for up to longest_wait. Both parameters are in the unit of position::order.
     double waiting_before(team_number team, std::size_t size_class, double order_per_task,
                           double longest_wait) const;
 
-    // Sum of the shares of the teams with waiting jobs, without the given team.
+    // Sum of the shares of all teams with waiting jobs except the given team.
     double competing_shares(team_number team) const;
 
 private:
