--- a/coordination/job_actions.h
+++ b/coordination/job_actions.h
@@ -27,8 +27,8 @@
     job_reply reply;
 };
 
-// Tasks for the scheduler. A new job is subject to admission; tasks that come back or belong to a job that
-// has started are queued in any case.
+// Tasks to be queued by the scheduler. A new job must pass admission. Returned tasks and tasks of a job that
+// has started are always queued.
 struct queue_request {
     job_id job;
     std::shared_ptr<const job_spec> spec;
@@ -37,7 +37,7 @@
     bool needs_admission = false;
 };
 
-// A slot of an agent is free again, with the report that freed it.
+// An agent has a free slot again; the report that freed it is included.
 struct returned_task {
     incarnation agent;
     job_id job;
@@ -53,22 +53,22 @@
     std::size_t tasks = 0;
 };
 
-// What the entry has to do after an event of the job table.
+// Actions that the entry has to carry out after an event of the job table.
 struct job_actions {
     std::vector<task_send> sends;
     std::vector<caller_answer> answers;
     std::vector<queue_request> queue;
     std::vector<returned_task> returned;
-    // The submission created a job, rather than meeting one with the same id.
+    // True if the submission created a job, false if a job with the same id existed.
     bool accepted = false;
     std::vector<ended_job> ended;
-    // Jobs that were forgotten without an outcome: refused, or moved to another owner.
+    // Jobs that were removed without an outcome, because they were refused or moved to another owner.
     std::vector<job_id> dropped;
     // Jobs whose waiting tasks the scheduler must drop.
     std::vector<job_id> withdrawn;
-    // Partitions that were lost; each goes to the new owner.
+    // Partitions that this entry lost; each handover goes to the new owner.
     std::vector<partition_handover> handovers;
-    // Reports that belonged to no outstanding task: late, duplicated or crossed.
+    // Reports that matched no outstanding task: late, duplicate, or crossed with another message.
     std::size_t stray_reports = 0;
 };
 
--- a/coordination/job_locator.cpp
+++ b/coordination/job_locator.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-// An owner answers within a few milliseconds. Without an answer the store is asked again, because the job may
+// An owner answers within a few milliseconds. After a timeout the store is read again, because the job may
 // have another owner by now.
 constexpr milliseconds answer_patience{250};
 constexpr milliseconds retry_pause{60};
 
-// Remembered owners; a day's jobs of one entry.
+// Maximum number of cached owners: the jobs of one entry in a day.
 constexpr std::size_t most_owners = 20000;
 
 } // namespace
@@ -71,7 +71,8 @@
         return;
     }
     if (!owner) {
-        // The owner is gone and its jobs are not adopted yet. Accepted it is, whatever has begun.
+        // The owner is gone and its jobs have not been adopted yet. The job was accepted, but whether it has
+        // started is unknown, so it is reported as queued.
         if (pending.is_cancel) {
             pending.again = now + retry_pause;
         } else {
@@ -92,7 +93,7 @@
         return;
     lookup& pending = found->second;
     if (!answer.is_known) {
-        // The remembered owner has lost the job.
+        // The cached owner no longer has the job.
         owners_.erase(pending.job);
         pending.again = now + retry_pause;
         return;
--- a/coordination/job_locator.h
+++ b/coordination/job_locator.h
@@ -18,8 +18,8 @@
 
 namespace persimmonstile {
 
-// Answers callers that ask for jobs of other entries: finds the owner in the store, asks it, and passes its
-// answer on.
+// Answers callers that ask for jobs of other entries. It finds the owner in the store, sends it the question,
+// and forwards its answer.
 class job_locator {
 public:
     struct read {
@@ -27,22 +27,22 @@
         job_id job;
     };
 
-    // A caller asks for the state of a job or wants it cancelled.
+    // A caller asks for the state of a job or for its cancellation.
     void ask(caller_token token, const job_id& job, bool is_cancel, time_point answer_by, time_point now);
 
     void read_replied(std::uint64_t id, const store_reply& reply, const member_directory& members,
                       const incarnation& self, time_point now);
     void answered(const job_answer& answer, time_point now);
-    // Asks again whose answer is missing, and gives up on those that the callers do not wait for any longer.
+    // Retries lookups that got no answer, and drops those whose callers no longer wait.
     void tick(time_point now);
 
     std::vector<read> take_reads() { return std::exchange(reads_, {}); }
-    // Questions for the owners of jobs.
+    // Questions to be sent to the owners of jobs.
     std::vector<std::pair<incarnation, job_question>> take_questions() {
         return std::exchange(questions_, {});
     }
     std::vector<caller_reply> take_replies() { return std::exchange(replies_, {}); }
-    // Jobs that turned out to belong to this entry, with the callers that asked for them.
+    // Lookups of jobs that turned out to belong to this entry.
     struct own_job {
         caller_token token = 0;
         job_id job;
@@ -59,7 +59,7 @@
         bool is_cancel = false;
         time_point answer_by{};
         time_point asked{};
-        // The step is taken again at this time if no answer comes.
+        // The lookup is retried at this time if no answer arrives.
         time_point again{};
     };
 
@@ -68,7 +68,7 @@
 
     std::uint64_t last_id_ = 0;
     std::map<std::uint64_t, lookup> lookups_;
-    // Owners found before, so that the next question needs no call to the store.
+    // Cached owners of jobs, so that the next lookup needs no call to the store.
     std::unordered_map<job_id, incarnation> owners_;
     std::vector<read> reads_;
     std::vector<std::pair<incarnation, job_question>> questions_;
--- a/coordination/job_submission.h
+++ b/coordination/job_submission.h
@@ -8,13 +8,13 @@
 
 namespace persimmonstile {
 
-// A caller's wish to have a job run.
+// A caller's request to run a job.
 struct job_submission {
     caller_token token = 0;
     job_id job;
     std::string queue;
     job_plan plan;
-    // The caller waits for the answer until then.
+    // Time until which the caller waits for the answer.
     time_point answer_by{};
 };
 
--- a/coordination/job_table.cpp
+++ b/coordination/job_table.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-// Repetitions of one idempotent request whose result was lost.
+// Maximum number of retries of an idempotent request whose result was lost.
 constexpr std::uint32_t max_retries_per_request = 2;
 
-// Retry hint while the memory for ended jobs is exhausted; the oldest entries leave within seconds.
+// Retry hint while the memory for ended jobs is exhausted. The oldest records expire within seconds.
 constexpr std::chrono::milliseconds memory_retry_hint{2000};
 
 // An old owner accepted ids up to clock_skew_limit ahead of its own clock, which may itself differ by the
@@ -261,7 +261,7 @@
 
 job_actions job_table::apply(const partition_handover& handover, time_point, wall_time) {
     const auto owned = partitions_.find(handover.partition);
-    // Knowledge of an epoch before the last one has a gap.
+    // Knowledge from before the preceding epoch has a gap.
     if (owned == partitions_.end() || owned->second.epoch != handover.epoch + 1)
         return {};
     owned->second.first_epoch = handover.first_epoch;
@@ -502,9 +502,9 @@
     return actions;
 }
 
-// The answer may have come late over a connection that has been replaced, and a task that it calls running
-// may have ended since, with its report lost. A copy of the dispatch makes the agent report an ended task
-// again.
+// The answer may be late, from a connection that has been replaced. A task that it lists as running may have
+// ended since, and its report may be lost. Sending the dispatch again makes the agent repeat the report of an
+// ended task.
 void job_table::confirm_adopted(const job_report& report, const job_record& record, time_point now,
                                 job_actions& actions) const {
     std::vector<task_index> adopted;
@@ -558,7 +558,7 @@
         return;
     }
     const std::vector<task_index> waiting = waiting_tasks(record);
-    // A job that no agent has seen is like a new one and may still be refused as not_run.
+    // No agent has seen the job, so it is treated like a new one and may still be refused as not_run.
     const bool untouched = !record.found_by_query;
     record.phase = untouched ? job_phase::admitting : job_phase::running;
     if (!waiting.empty())
--- a/coordination/job_table.h
+++ b/coordination/job_table.h
@@ -17,16 +17,17 @@
 
 namespace persimmonstile {
 
-// The jobs of one shard of an owner: deduplication, task states and outcomes. It decides whether a task may
-// be dispatched; when and where is the scheduler's decision. Deterministic and without I/O; the caller holds
-// the shard's lock. Calls that concern a partition which the shard does not own answer job_wrong_owner.
+// Keeps the jobs of one shard of an owner: deduplication, task states and outcomes. It decides whether a task
+// may be dispatched; the scheduler decides when and where. It is deterministic and does no I/O; the caller
+// holds the shard's lock. Calls for a partition that the shard does not own are answered with
+// job_wrong_owner.
 class job_table {
 public:
-    // max_retained_bytes bounds the memory for ended jobs. When it is reached new jobs are refused, because
-    // forgetting an ended job early could run it twice.
+    // max_retained_bytes limits the memory for ended jobs. At the limit new jobs are refused, because
+    // removing an ended job early could run it twice.
     explicit job_table(std::size_t max_retained_bytes);
 
-    // Each of the events of job_event. wall_now is needed where the time inside an id counts.
+    // One overload for each event of job_event. wall_now is needed where the time inside an id is used.
     job_actions apply(const submission& request, time_point now, wall_time wall_now);
     job_actions apply(const forward_lookup& request, time_point now, wall_time wall_now);
     job_actions apply(const caller_left& left, time_point now, wall_time wall_now);
@@ -34,17 +35,17 @@
     job_actions apply(const assignment& chosen, time_point now, wall_time wall_now);
     job_actions apply(const task_reports& reports, time_point now, wall_time wall_now);
     job_actions apply(const job_report& report, time_point now, wall_time wall_now);
-    // After a new connection unanswered dispatches and queries are sent again. What an agent that is gone had
-    // accepted has an unknown outcome.
+    // After a reconnect, unanswered dispatches and queries are sent again. Tasks that a gone agent had
+    // accepted have an unknown outcome.
     job_actions apply(const agent_presence& presence, time_point now, wall_time wall_now);
     job_actions apply(const partition_gain& gained, time_point now, wall_time wall_now);
     // Drops the partition's jobs and sends their callers to the new owner.
     job_actions apply(const partition_loss& lost, time_point now, wall_time wall_now);
-    // Deadlines and the end of the deduplication window. To be called at least every 50 ms.
+    // Applies deadlines and the end of the deduplication window. Must be called at least every 50 ms.
     job_actions apply(const clock_tick& tick, time_point now, wall_time wall_now);
     // The agent answers for every job that it does not list, also after it is gone.
     job_actions apply(const agent_parting& parting, time_point now, wall_time wall_now);
-    // What the former owner knew of a partition that this shard owns in the next epoch.
+    // State that the former owner had of a partition which this shard owns in the next epoch.
     job_actions apply(const partition_handover& handover, time_point now, wall_time wall_now);
 
     std::size_t active_jobs() const { return active_jobs_; }
@@ -54,9 +55,10 @@
     struct owned_partition {
         epoch_number epoch = 0;
         bool first_epoch = false;
-        // Ids that were created after this, with a margin for clocks, and are not among inherited are new.
+        // An id is new if it was created after this time, plus a margin for clock skew, and is not in
+        // inherited.
         wall_time known_since;
-        // Jobs that the former owner knew.
+        // Jobs that the former owner listed in its handover.
         std::unordered_set<std::uint64_t> inherited;
         std::set<incarnation> suspects;
     };
@@ -100,7 +102,7 @@
     std::multimap<time_point, job_id> deadlines_;
     std::deque<std::pair<time_point, job_id>> ended_order_;
     std::set<incarnation> gone_agents_;
-    // Agents that stopped as planned, for as long as their records would have counted.
+    // Agents that stopped as planned. An entry is kept for as long as the agent's records would have counted.
     std::map<incarnation, parted_agent> parted_agents_;
     std::size_t active_jobs_ = 0;
     std::size_t retained_bytes_ = 0;
