--- a/coordination/placement_credits.h
+++ b/coordination/placement_credits.h
@@ -9,8 +9,8 @@
 
 namespace persimmonstile {
 
-// The backend server with the most credits. Its credits are its slots less the load that it reported and the
-// tasks sent since; speed plays no part.
+// Chooses the backend server with the most credits: its slots minus its reported load and the tasks sent
+// since. Speed is not considered.
 class placement_credits {
 public:
     void update(std::uint32_t id, const placement_load& load, std::mt19937_64& random) {
--- a/coordination/placement_least_completion.h
+++ b/coordination/placement_least_completion.h
@@ -10,8 +10,8 @@
 
 namespace persimmonstile {
 
-// The backend server that is expected to complete the task first: the wait for a slot plus the run time.
-// Equal ones are ordered at random, so that several entries do not all prefer the same one.
+// Chooses the backend server with the earliest expected completion: the wait for a slot plus the run time.
+// Ties are broken at random, so that several entries do not all choose the same backend server.
 class placement_least_completion {
 public:
     void update(std::uint32_t id, const placement_load& load, std::mt19937_64& random) {
--- a/coordination/placement_policy.h
+++ b/coordination/placement_policy.h
@@ -10,9 +10,9 @@
 namespace persimmonstile {
 
 // Chooses among the backend servers of one service that may receive a task now. The scheduler calls update
-// for a backend server that may receive a task whenever its load changes, and remove when it may not.
-// Backend servers are numbered densely from 0. Every operation must stay far below linear cost in their
-// number.
+// whenever the load of such a backend server changes, and remove when it may no longer receive a task.
+// Backend servers are numbered consecutively from 0. Every operation must cost far less than linear time in
+// their number.
 template <typename policy>
 concept placement_policy = std::default_initializable<policy> &&
     requires(policy placement, const policy& constant, std::uint32_t id, const placement_load& load,
--- a/coordination/placement_random.h
+++ b/coordination/placement_random.h
@@ -9,7 +9,7 @@
 
 namespace persimmonstile {
 
-// Any backend server with a free place, with equal probability.
+// Chooses any backend server with free capacity, with equal probability.
 class placement_random {
 public:
     void update(std::uint32_t id, const placement_load&, std::mt19937_64&) { available_.insert(id); }
--- a/coordination/queue_router.h
+++ b/coordination/queue_router.h
@@ -7,8 +7,8 @@
 
 namespace persimmonstile {
 
-// The queue that a call reaches: of those with its host, the one with the longest prefix of its path. Null if
-// there is none.
+// Finds the queue for a call: among the queues with the call's host, the one with the longest matching path
+// prefix. Returns null if none matches.
 inline const queue_policy* find_queue(const deployment_config& config, std::string_view host,
                                       std::string_view path) {
     const queue_policy* best = nullptr;
