--- a/coordination/run_planner.cpp
+++ b/coordination/run_planner.cpp
@@ -10,25 +10,26 @@
 
 namespace {
 
-// Time that an order and its report need beyond the run: within a zone, and added between zones.
+// Time for a start order and its report in addition to the run: within a zone, and extra between zones.
 constexpr double local_way_seconds = 0.002;
 constexpr double remote_way_seconds = 0.003;
 
-// Entries that see the same room must not all prefer the same backend server of several equal ones.
+// Random variation of the cost. Entries that see the same free capacity must not all choose the same one of
+// several equal backend servers.
 constexpr double cost_jitter = 0.04;
 
-// Of backend servers that are about equal, one with more room is less likely to have none when the order
-// comes. A full one counts as this part slower than an empty one.
+// Among nearly equal backend servers, one with more free capacity is less likely to be full when the order
+// arrives. At full utilization the cost is higher by this fraction.
 constexpr double used_room_weight = 0.3;
 
-// A backend server where this task ended badly is the last choice.
+// Cost factor of a backend server where this task failed before, so that it is chosen last.
 constexpr double avoided_factor = 4;
 
-// A job ends with its longest task, which takes longer than the expected one by about this factor: tasks of a
-// step differ, and a step has a few of them.
+// A job ends with its longest task. That task takes about this multiple of the expected run time, because a
+// step has several tasks and their run times differ.
 constexpr double longest_task_factor = 1.3;
 
-// How much a job is still worth: in time, late, or too late for anybody.
+// Whether a job can end in time, late but still useful, or too late for its caller.
 enum class worth : std::uint8_t { in_time, late, none };
 
 worth worth_of(const job_target& target, time_point now) {
@@ -47,7 +48,7 @@
     return left.job == right.job && left.occurrence == right.occurrence && left.step == right.step;
 }
 
-// Tasks of the step that run at the agent or are planned for it.
+// Number of tasks of the step that run at the agent or are planned for it.
 std::size_t count_of_step(const agent_view& agent, const task_ref& step,
                           const std::vector<planned_run>& planned) {
     const auto running = std::count_if(agent.runs.begin(), agent.runs.end(),
@@ -79,7 +80,7 @@
     for (ledger_job* job : waiting) {
         const job_target target = times.target_of(*job, find_queue_named(config, job->record->queue));
         const worth value = worth_of(target, now);
-        // A job that has begun is ended before others are begun late, or its work would be thrown away.
+        // Started jobs finish before other late jobs start; otherwise the work done for them would be lost.
         const bool is_first = value == worth::in_time || (value == worth::late && job->has_begun);
         order.push_back({job, is_first ? worth::in_time : value, is_first ? target.in_time : target.useful});
     }
@@ -124,7 +125,7 @@
     return result;
 }
 
-// Refuses the late jobs of a service if room goes only to others.
+// Refuses the late jobs of a service if all capacity keeps going to other jobs.
 void run_planner::refuse_late(const late_jobs& jobs, late_job_patience& patience, run_plan& result,
                               time_point now) {
     if (jobs.is_one_begun)
@@ -136,8 +137,9 @@
                                        jobs.without_room.end());
 }
 
-// The agents that may get a run now, with their room noted. Suspect ones are left out while most are not: if
-// all of them fail, the cause lies elsewhere, and some runs may succeed.
+// Returns the agents that may get a run now and records their free capacity. Suspect agents are left out if
+// at least half are not suspect. If most are suspect, the cause is probably elsewhere, and some runs may
+// succeed.
 std::vector<agent_view*> run_planner::usable_agents(agent_directory& agents, const std::string& service,
                                                     const deployment_config& config, time_point now) {
     std::vector<agent_view*> sound;
@@ -153,14 +155,14 @@
     return 2 * sound.size() >= all.size() ? sound : all;
 }
 
-// Part of a backend server's processors that is in use while a plan is made.
+// Fraction of a backend server's processors in use, including the runs planned so far.
 double run_planner::used_part(const agent_view& agent) const {
     const auto all = static_cast<double>(agent.profile.backend.capacity.cpu_millicores);
     const auto free = static_cast<double>(room_.at(agent.number).cpu_millicores);
     return all > 0 ? 1 - free / all : 1;
 }
 
-// The backend server with room that is expected to finish the task first; null if there is none.
+// Returns the backend server with enough capacity and the lowest cost, or null if there is none.
 agent_view* run_planner::choose(const ledger_job& job, const task_ref& task, const ledger_task& state,
                                 double seconds, const std::vector<agent_view*>& usable,
                                 const std::vector<planned_run>& planned) {
--- a/coordination/run_planner.h
+++ b/coordination/run_planner.h
@@ -19,47 +19,48 @@
 struct planned_run {
     task_ref task;
     agent_number agent = 0;
-    // Expected run time there.
+    // Expected run time at that agent.
     milliseconds expected{0};
 };
 
-// What to do with the jobs that wait.
+// Result of a planning pass over the waiting jobs.
 struct run_plan {
     std::vector<planned_run> runs;
-    // Jobs that found no room for any task and cannot end in time for their callers any more.
+    // Jobs for which no task could be placed and which can no longer end in time for their callers.
     std::vector<job_id> hopeless;
-    // Jobs that will be late, while all room goes to others.
+    // Jobs that will be late while all capacity goes to other jobs.
     std::vector<job_id> without_prospect;
 };
 
-// Decides which waiting tasks go where. Orders jobs by what their completion is still worth, and chooses for
-// each task the backend server that is expected to finish it first.
+// Decides which waiting tasks run where. It orders jobs by how useful their completion still is, and chooses
+// for each task the backend server that is expected to finish it first.
 class run_planner {
 public:
-    // A task runs longer by remote_data_factor on another rack than that of its data.
+    // remote_data_factor multiplies the run time of a task on a rack other than that of its data.
     run_planner(std::string zone, double remote_data_factor, std::uint64_t seed)
         : zone_{std::move(zone)}
         , remote_data_factor_{remote_data_factor}
         , random_{seed} {}
 
-    // Places what can be placed now. The needs of placed tasks are taken from the agents' room by the caller.
+    // Places all tasks that fit now. The caller subtracts the needs of placed tasks from the agents'
+    // capacity.
     run_plan plan(const std::vector<ledger_job*>& waiting, agent_directory& agents,
                   const run_time_model& times, const deployment_config& config, time_point now);
 
-    // Whether the agent may get a run of the service now, apart from its room.
+    // Whether the agent may get a run of the service now, regardless of its free capacity.
     static bool is_usable(const agent_view& agent, const std::string& service,
                           const deployment_config& config, time_point now);
-    // Whether the agent may get runs of kept jobs, so that a successor would find them.
+    // Whether the agent may get runs of kept jobs: a successor of this entry must be able to find them.
     static bool is_usable_for_kept(const agent_view& agent) {
         return agent.is_session_introduced && agent.is_recorded;
     }
 
 private:
-    // The jobs of a service that will be late and have not begun, in one plan.
+    // The late jobs of a service that have not started, in one planning pass.
     struct late_jobs {
         std::vector<job_id> without_room;
         bool is_one_begun = false;
-        // Runs of jobs that can be in time or have begun.
+        // Runs planned for jobs that can end in time or have already started.
         std::size_t others_begun = 0;
     };
 
@@ -75,7 +76,7 @@
     std::string zone_;
     double remote_data_factor_;
     std::mt19937_64 random_;
-    // Room of the usable agents while a plan is made.
+    // Free capacity of the usable agents during a planning pass.
     std::map<agent_number, resources> room_;
     // By service.
     std::map<std::string, late_job_patience> patience_;
--- a/coordination/run_time_model.cpp
+++ b/coordination/run_time_model.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-// Run time of a task whose caller gave no estimate.
+// Run time assumed for a task whose caller gave no estimate.
 constexpr double unknown_seconds = 0.2;
 
-// A completion is worth less beyond its objective, and nothing beyond this multiple of it.
+// A completion is worth less after its objective, and nothing after this multiple of it.
 constexpr int useful_multiple = 3;
 
 double seconds_of(milliseconds time) {
--- a/coordination/run_time_model.h
+++ b/coordination/run_time_model.h
@@ -10,21 +10,21 @@
 
 namespace persimmonstile {
 
-// Expected run times, learnt from the runs that ended. The estimates of callers are rough, but off in the
-// same way within a queue.
+// Learns expected run times from ended runs. Callers' estimates are rough, but within a queue they are wrong
+// by a similar factor.
 class run_time_model {
 public:
-    // A task with this estimate ran for this long on a backend server with this slowness.
+    // Records that a task with this estimate ran for run_time on a backend server with this slowness.
     void observe(const std::string& queue, milliseconds estimate, std::chrono::microseconds run_time,
                  double slowness);
-    // On a backend server of usual speed.
+    // Expected run time on a backend server of typical speed.
     double expected_seconds(const std::string& queue, milliseconds estimate) const;
 
     // queue may be null if the queue is no longer configured.
     job_target target_of(const ledger_job& job, const queue_policy* queue) const;
 
 private:
-    // Run time in units of the caller's estimate.
+    // Ratio of the run time to the caller's estimate, by queue.
     std::unordered_map<std::string, speed_estimate> ratios_;
 };
 
