--- a/coordination/scheduler.cpp
+++ b/coordination/scheduler.cpp
@@ -11,57 +11,60 @@
 
 namespace {
 
-// Tasks beyond its slots that an agent receives, to hide the round trip between an end and the next start.
-// A round trip of 3 ms is 6% of the shortest usual task (50 ms), so one task per agent is enough.
+// Tasks that an agent gets beyond its slots, to hide the round trip between the end of one task and the start
+// of the next. A round trip of 3 ms is 6% of the shortest usual task (50 ms), so one task per agent is
+// enough.
 constexpr std::uint32_t prefetch_per_agent = 1;
 
-// Part of the places beyond its own that an entry uses when other entries share the agent. With all of them,
-// entries that see the same free places send too much at the same time: 1.5% of the tasks were refused at 70%
-// load with three entries, 0.1% with this part.
+// Fraction of the capacity beyond its own part that an entry uses when other entries share the agent. Entries
+// that see the same free capacity and use all of it send too many tasks at once: with three entries at 70%
+// load, 1.5% of the tasks were refused, and 0.1% with this fraction.
 constexpr double shared_part = 0.75;
 
-// Run time assumed before the first task of a service has ended.
+// Run time assumed until the first task of a service has ended.
 constexpr double initial_run_seconds = 0.3;
 
-// A mean run time is an average over about this many of the last tasks.
+// A mean run time averages about this many of the latest tasks.
 constexpr std::uint32_t averaged_run_times = 64;
 
-// How much longer a job waits behind smaller ones of its team, as a multiple of the time that it takes
-// alone. Bounds the wait of large jobs while small ones keep a low response time relative to the ideal. At
-// 120% load a factor of 16 completes 98% of the capacity in time, a factor of 4 only 92% (docs/placement.md).
+// How much longer a job waits behind smaller jobs of its team, as a multiple of the time that it takes alone.
+// It limits the wait of large jobs, while small jobs keep a low response time relative to the ideal. At 120%
+// load a factor of 16 completes 98% of the capacity in time, a factor of 4 only 92% (docs/placement.md).
 constexpr double size_penalty = 16;
 
-// With a longer queue than this, an entry counts only on its own part of the slots.
+// If the queue takes longer than this, an entry counts only its own part of the slots.
 constexpr double longest_shared_wait_seconds = 2;
 
-// A job is given up early only if it clearly needs more than the time left, because the rate is an estimate.
+// The rate is an estimate, so a job is given up early only if it clearly needs more than the time left.
 constexpr double hopeless_margin = 0.8;
 constexpr std::chrono::seconds parking_time{1};
 
-// Samples of a task class before deadlines are judged by its mean run time.
+// Minimum number of samples of a task class before deadlines are checked against its mean run time.
 constexpr std::uint32_t samples_to_judge = 8;
 
-// A job that would miss its deadline even on an idle system is admitted once in this time, so that a mean
-// run time that is no longer true is corrected.
+// A job that would miss its deadline even on an idle system is admitted once per interval, so that a stale
+// mean run time is corrected.
 constexpr std::chrono::seconds doubt_interval{1};
 
-// Methods come from callers, so their number must be bounded. Further ones are judged like jobs.
+// Callers choose the methods, so the number of classes must be limited. Further methods use the class of
+// jobs.
 constexpr std::size_t most_task_classes = 64;
 
-// Backend servers differ in speed by a factor of 4. One that is this much slower than the typical one is
-// defective, and a task on it would take longer than waiting for another one.
+// Backend servers differ in speed by a factor of 4. One that is slower than the typical one by this factor is
+// defective, and a task on it would take longer than waiting for another backend server.
 constexpr double slowness_limit = 6;
 constexpr std::uint32_t samples_for_slowness = 3;
 constexpr double usual_ratio_limit = 2;
 
-// A backend server with one task is taken for silent after this multiple of the mean run time, and with k
-// tasks after the k-th part of it. With exponential run times, a healthy one is silent for so long with a
-// probability of exp(-16). One more mean run time is allowed for tasks that queue behind those of others.
+// A backend server with one task counts as silent after this multiple of the mean run time, and one with k
+// tasks after a k-th of that. With exponential run times, a healthy one is silent for that long with a
+// probability of exp(-16). One more mean run time is allowed for tasks that queue behind those of other
+// entries.
 constexpr double silence_factor = 16;
 constexpr double shortest_silence_seconds = 1;
 constexpr std::chrono::seconds silence_check_interval{1};
 
-// Load of other entries is believed for the time of one task, but at least for this long.
+// The reported load of other entries decays with a half-life of one task's run time, but at least this long.
 constexpr double shortest_load_half_life_seconds = 0.02;
 
 double seconds_between(time_point from, time_point to) {
@@ -97,7 +100,8 @@
         if (zone_out == agent.zone_out)
             continue;
         agent.zone_out = zone_out;
-        // Backend servers of a zone that returns are loaded again step by step.
+        // Backend servers of a zone that returns start with a small window, so that their load rises step by
+        // step.
         for (const auto& [service, backend] : agent.backends)
             services_[service].backends[backend].health.start_with(1);
         refresh_agent(agent, now);
@@ -119,13 +123,14 @@
         return refused;
     if (auto refused = check_capacity(spec, deadline, now))
         return refused;
-    // The job table filters resubmissions. A withdrawn job stays known while a task of it is assigned.
+    // The job table filters resubmissions. The record of a withdrawn job remains while a task of it is
+    // assigned.
     const auto known = job_numbers_.find(job);
     if (known != job_numbers_.end() && !jobs_[known->second].withdrawn)
         return std::nullopt;
     scheduler_job& record = job_record(job, spec, deadline, now);
     record.next = 0;
-    // Smaller jobs may pass this one only while it can still meet its deadline.
+    // Smaller jobs may overtake this one only while it can still meet its deadline.
     const double needed = wait_without_passing(load_for(spec), spec.tasks.size());
     const double latest_start = seconds_between(time_point{}, deadline) - needed;
     record.order = std::clamp(latest_start, seconds_between(time_point{}, now), record.order);
@@ -134,7 +139,7 @@
     service_state& service = services_[record.service];
     service.task_classes[record.task_class].last_admitted = now;
     service.mix.add(record.size_class, spec.tasks.size());
-    // Averaged over arrivals, which sees the same load as an average over time.
+    // Averaged over arrivals, which gives the same load as an average over time.
     const double places = std::max(true_rate(service) * mean_or_initial(service), 1.0);
     const double busy = std::min(1.0, static_cast<double>(service.in_flight) / places);
     service.busy += (busy - service.busy) / averaged_run_times;
@@ -158,8 +163,8 @@
     load.service_waiting = service.waiting;
     load.shares_queue = fleet_->teams.size() > 1;
     load.rate = true_rate(service);
-    // A long queue here means that the other entries have one, too, although their last reports may not show
-    // it yet. The entry then gets its part of the slots and no more.
+    // A long queue here means that other entries have one too, although their latest reports may not show it
+    // yet. The entry then gets only its own part of the slots.
     const bool long_queue =
         static_cast<double>(service.waiting + spec.tasks.size()) > load.rate * longest_shared_wait_seconds;
     if (long_queue && service.rate > 0)
@@ -189,8 +194,8 @@
     return service.mean_seconds > 0 ? service.mean_seconds : initial_run_seconds;
 }
 
-// Tasks per second that this entry can complete. The sum of the backend servers' rates is one of typical
-// tasks; long tasks raise the mean above the typical run time.
+// Tasks per second that this entry can complete. The sum of the backend servers' rates assumes typical tasks;
+// long tasks raise the mean above the typical run time.
 template <placement_policy policy> double basic_scheduler<policy>::true_rate(const service_state& service) {
     if (service.mean_seconds == 0)
         return service.rate;
@@ -233,7 +238,7 @@
     enqueue(job_numbers_.at(job));
 }
 
-// Queues jobs again that were given up some time ago; capacity may have returned.
+// Queues deferred jobs again after the deferral time; capacity may have returned.
 template <placement_policy policy> void basic_scheduler<policy>::release_parked(time_point now) {
     while (!parked_jobs_.empty() && parked_jobs_.front().second <= now) {
         const auto found = job_numbers_.find(parked_jobs_.front().first);
@@ -295,7 +300,7 @@
         return task.job == number && task.index == report.index;
     };
     const auto task = std::find_if(backend.in_flight.begin(), backend.in_flight.end(), is_task);
-    // A report that was sent again after a reconnect.
+    // The report is a duplicate, sent again after a reconnect.
     if (task == backend.in_flight.end())
         return;
     const in_flight_task returned = *task;
@@ -322,7 +327,8 @@
     const ejection_cause cause = backend.health.cause();
     backend.health.succeeded(now);
     if (cause == ejection_cause::slowness) {
-        // One short task proves little, so the estimate has to agree; the next probe then follows at once.
+        // One short task is weak evidence, so the estimate must agree too. If it does not, the next probe
+        // follows at once.
         const double estimate = std::sqrt(backend.slowness.value_or(1) * ratio);
         backend.slowness.reset(estimate);
         if (ratio <= slowness_limit && estimate > slowness_limit / 2)
@@ -330,9 +336,9 @@
         if (estimate > slowness_limit / 2)
             return;
     }
-    // Silence that ends with a task of usual length was an interruption. Otherwise it is part of the
-    // evidence: the first tasks to end are the shortest ones and understate how slow the backend server has
-    // become.
+    // If a task of normal length ends the silence, it was an interruption. Otherwise the silence counts as
+    // evidence of slowness: the first tasks to end are the shortest ones and understate how slow the backend
+    // server has become.
     const bool interrupted = cause == ejection_cause::silence && ratio <= usual_ratio_limit;
     if (cause == ejection_cause::silence && !interrupted)
         backend.slowness.reset(std::sqrt(backend.slowness.value_or(1) * ratio));
@@ -373,7 +379,7 @@
         return;
     const bool full = reason == refusal::queue_full || reason == refusal::declined_by_backend_server;
     backend.health.refused(full, static_cast<std::uint32_t>(backend.in_flight.size()), now);
-    // An operator's action is no overload; its tasks are moved without delay.
+    // An operator's action is not an overload, so its tasks are moved without delay.
     const bool planned = reason == refusal::draining || reason == refusal::zone_out;
     if (!record.withdrawn && !planned)
         ++record.retries;
@@ -435,7 +441,7 @@
         std::optional<std::uint32_t> backend = backend_of(agents_[number], service);
         if (!backend) {
             backend = add_backend(number, service);
-            // Half of its slots, until the first tasks show that it works.
+            // Starts with half of its slots until the first tasks show that it works.
             services_[service].backends[*backend].health.start_with((capacity.slots + 1) / 2);
         }
         services_[service].backends[*backend].slots = capacity.slots;
@@ -498,7 +504,7 @@
         if (!backend)
             return;
         const scheduler_job& job = jobs_[selected->job];
-        // The job table ends a job whose deadline has passed; until then its tasks are passed over.
+        // The job table ends a job whose deadline has passed. Until then its tasks are skipped.
         if (job.deadline <= now || is_hopeless(state, job, now)) {
             if (job.deadline > now)
                 parked_jobs_.emplace_back(*job.id, now + parking_time);
@@ -509,7 +515,7 @@
     }
 }
 
-// True if the waiting tasks alone would not end before the deadline if the job had the service for itself.
+// True if the waiting tasks alone would not end before the deadline, even if the job had the whole service.
 template <placement_policy policy>
 bool basic_scheduler<policy>::is_hopeless(const service_state& service, const scheduler_job& record,
                                           time_point now) {
@@ -591,7 +597,7 @@
     team.max_running = bound == 0 ? 0 : std::max<std::uint32_t>(bound / entries_, 1);
 }
 
-// The record of the job, created if it is not known. That of a withdrawn job is used again.
+// Returns the record of the job and creates it if needed. The record of a withdrawn job is reused.
 template <placement_policy policy>
 scheduler_job& basic_scheduler<policy>::job_record(const job_id& job, const job_spec& spec,
                                                    time_point deadline, time_point now) {
@@ -635,7 +641,7 @@
     return number;
 }
 
-// Number of the task class of a method, which is created if there is room for it.
+// Returns the number of a method's task class. The class is created if the limit on classes is not reached.
 template <placement_policy policy>
 std::uint8_t basic_scheduler<policy>::task_class(service_state& service, const std::string& method) {
     if (method.empty())
@@ -723,8 +729,8 @@
     return number;
 }
 
-// Tasks that this entry may have at a backend server whatever the other entries do. Together the parts fit
-// into the slots.
+// Tasks that this entry may have at a backend server regardless of the other entries. The parts of all
+// entries together fit into the slots.
 template <placement_policy policy>
 std::uint32_t basic_scheduler<policy>::own_part(std::uint32_t slots) const {
     return std::max<std::uint32_t>(slots / entries_, 1);
@@ -741,13 +747,13 @@
     return 2 * (service.ejected + 1) <= service.serving;
 }
 
-// Ejections are suspended while others have left and the ejected ones are the larger part.
+// Ejections are suspended if other backend servers have left and the ejected ones are now the majority.
 template <placement_policy policy>
 bool basic_scheduler<policy>::is_ejection_enforced(const service_state& service) {
     return 2 * service.ejected <= service.serving;
 }
 
-// Time without a report after which the backend server is taken for silent, in seconds.
+// Time without a report after which the backend server counts as silent, in seconds.
 template <placement_policy policy>
 double basic_scheduler<policy>::silence_limit(const scheduler_backend& backend) const {
     float longest = 0;
@@ -759,7 +765,7 @@
     return std::max(shortest_silence_seconds, factor * expected);
 }
 
-// Replaces what the backend server contributed to the sums of its service.
+// Updates the backend server's contribution to the sums of its service.
 template <placement_policy policy>
 void basic_scheduler<policy>::update_sums(std::uint32_t service, std::uint32_t number, double others) {
     service_state& state = services_[service];
@@ -773,7 +779,7 @@
     const double failure_ratio = counted ? backend.health.failure_ratio() : 0;
     state.serving += (serving ? 1 : 0) - (backend.is_serving ? 1 : 0);
     state.ejected += (ejected ? 1 : 0) - (backend.is_ejected ? 1 : 0);
-    // Rounding errors of the sums end here at the latest.
+    // Without any usable backend server the sums are reset, which removes accumulated rounding errors.
     const bool any = state.serving > state.ejected;
     state.rate = any ? state.rate + rate - backend.rate : 0;
     state.part_rate = any ? state.part_rate + part_rate - backend.part_rate : 0;
@@ -785,7 +791,7 @@
     backend.failure_ratio = failure_ratio;
 }
 
-// Tells the placement policy whether the backend server may receive a task now, and its load.
+// Updates the placement policy: whether the backend server may receive a task now, and its load.
 template <placement_policy policy>
 void basic_scheduler<policy>::refresh(std::uint32_t service, std::uint32_t number, time_point now) {
     service_state& state = services_[service];
@@ -799,7 +805,7 @@
         state.placement.remove(number);
 }
 
-// Ejects the backend server if it is silent, or sees to it that this is checked later.
+// Ejects the backend server if it is silent, or schedules a later check.
 template <placement_policy policy>
 void basic_scheduler<policy>::eject_if_silent(std::uint32_t service, std::uint32_t number, time_point now) {
     scheduler_backend& backend = services_[service].backends[number];
@@ -813,7 +819,7 @@
         wake_at(service, number, std::max(limit, now + silence_check_interval));
 }
 
-// Tasks of other entries at the backend server. The report loses its worth as these tasks end.
+// Estimated tasks of other entries at the backend server. The reported number decays as these tasks end.
 template <placement_policy policy>
 double basic_scheduler<policy>::others_now(const service_state& service, const scheduler_backend& backend,
                                            time_point now) const {
@@ -824,8 +830,8 @@
     return backend.others * std::exp2(-age / half_life);
 }
 
-// The load with which the backend server is offered to the placement policy, or nullopt if it may not receive
-// a task now; then a wakeup is set for the time at which it may.
+// Returns the load to give to the placement policy, or nullopt if the backend server may not receive a task
+// now. In the latter case a wakeup is set if the time at which it may is known.
 template <placement_policy policy>
 std::optional<placement_load> basic_scheduler<policy>::offer(std::uint32_t service, std::uint32_t number,
                                                              double others, time_point now) {
@@ -843,7 +849,8 @@
         if (now < health.probe_at())
             wake_at(service, number, health.probe_at());
         else if (own + 1 <= backend.slots)
-            // A probe goes before all other choices, because it only tells something if it is sent.
+            // A probe takes precedence over all other choices, because only a probe that is sent gives a
+            // result.
             return placement_load{backend.slots, 0, 0};
         return std::nullopt;
     }
@@ -886,7 +893,7 @@
         const wakeup due = wakeups_.top();
         wakeups_.pop();
         scheduler_backend& backend = services_[due.service].backends[due.backend];
-        // Replaced by an earlier one, or the backend server is gone.
+        // The wakeup was replaced by an earlier one, or the backend server is gone.
         if (backend.wakeup != due.time)
             continue;
         backend.wakeup.reset();
--- a/coordination/scheduler.h
+++ b/coordination/scheduler.h
@@ -32,50 +32,51 @@
 
 namespace persimmonstile {
 
-// Holds the waiting tasks of one entry and decides when and where each is sent. It is concerned with
-// performance and fairness only: whether a task may be sent at all is the job table's decision, so an error
-// here cannot start a task twice. Deterministic and without I/O; the caller serialises the calls.
-// docs/placement.md explains the rules and their constants.
+// Holds the waiting tasks of one entry and decides when and where each is sent. It affects only performance
+// and fairness: the job table decides whether a task may be sent at all, so an error here cannot start a task
+// twice. It is deterministic and does no I/O; the caller serialises the calls. docs/placement.md explains the
+// rules and their constants.
 template <placement_policy policy> class basic_scheduler {
 public:
     static constexpr std::uint64_t default_seed = 1;
 
-    // The seed only affects the order of equally good backend servers. Entries should use different ones.
+    // The seed affects only the order of equally good backend servers. Entries should use different seeds.
     explicit basic_scheduler(std::uint64_t seed = default_seed);
 
     void set_fleet(std::shared_ptr<const fleet_view> fleet, time_point now = time_point{});
-    // Number of entries that share the cell; each enforces its part of quotas.
+    // Number of entries that share the cell; each enforces its fraction of the quotas.
     void set_entry_count(std::uint32_t entries);
 
-    // Decides on a new job and queues its tasks 0..n-1 if it is admitted; otherwise the refusal for the
-    // caller.
+    // Decides on a new job. If the job is admitted, its tasks 0..n-1 are queued; otherwise returns the
+    // refusal for the caller.
     std::optional<job_failed> admit(const job_id& job, const job_spec& spec, time_point deadline,
                                     time_point now);
-    // Queues tasks again that an agent did not start, or whose job was rebuilt after a takeover. For the
-    // former, task_returned comes first.
+    // Queues tasks again that an agent did not start, or whose job was rebuilt after a takeover. In the first
+    // case task_returned must be called before.
     void requeue(const job_id& job, const job_spec& spec, const std::vector<task_index>& tasks,
                  time_point deadline, time_point now);
     // Drops the waiting tasks of a job that has ended. Required for every job that ends before all of its
     // tasks have come back with a status other than not_started.
     void withdraw(const job_id& job);
 
-    // An assigned task came back, whatever its status.
+    // Handles the return of an assigned task, whatever its status.
     void task_returned(const incarnation& agent, const job_id& job, const task_report& report,
                        time_point now);
-    // The load in a message. Expected after task_returned for the reports of the same message.
+    // Handles the load in a message. Must be called after task_returned for the reports of the same message.
     void load_reported(const incarnation& agent, const std::string& service, const agent_load& load,
                        time_point now);
     void agent_changed(const agent_status& status, time_point now);
-    // The connection to the agent is lost. It keeps its assigned tasks and gets no new ones until its next
-    // agent_changed.
+    // The connection to the agent was lost. The agent keeps its assigned tasks and gets no new ones until the
+    // next agent_changed.
     void agent_disconnected(const incarnation& agent, time_point now);
-    // The agent is given up with all tasks assigned to it.
+    // The agent is removed, with all tasks assigned to it.
     void agent_gone(const incarnation& agent, time_point now);
 
-    // Assignments that are possible now, one for each job and agent. Tasks leave the queue with it.
+    // Returns the assignments that are possible now, one for each job and agent, and removes their tasks from
+    // the queue.
     std::vector<assignment> take_assignments(time_point now);
 
-    // When take_assignments has to be called again even if nothing is reported until then.
+    // Time at which take_assignments must be called again even if nothing is reported before.
     std::optional<time_point> next_wakeup() const;
 
     std::size_t waiting_tasks() const { return waiting_count_; }
@@ -172,7 +173,7 @@
     std::priority_queue<wakeup, std::vector<wakeup>, std::greater<>> wakeups_;
     std::size_t waiting_count_ = 0;
     admission_retry_budget retry_budget_;
-    // Jobs that cannot end in time at the present rate, with the time at which this is judged again.
+    // Jobs that cannot end in time at the present rate, with the time of the next check.
     std::deque<std::pair<job_id, time_point>> parked_jobs_;
     // Jobs with held tasks, oldest first.
     std::deque<job_id> held_jobs_;
--- a/coordination/scheduler_agent.h
+++ b/coordination/scheduler_agent.h
@@ -9,14 +9,14 @@
 
 namespace persimmonstile {
 
-// What the scheduler keeps of an agent.
+// State that the scheduler keeps for an agent.
 struct scheduler_agent {
     incarnation id;
     std::string zone;
     bool connected = false;
     bool draining = false;
     bool zone_out = false;
-    // Service number and number of the backend server within the service.
+    // Service number, and number of the backend server within that service.
     std::vector<std::pair<std::uint32_t, std::uint32_t>> backends;
 
     bool takes_tasks() const { return connected && !draining && !zone_out; }
--- a/coordination/scheduler_backend.h
+++ b/coordination/scheduler_backend.h
@@ -11,7 +11,7 @@
 
 namespace persimmonstile {
 
-// A task that was assigned and has not come back.
+// A task that was assigned and has not returned.
 struct in_flight_task {
     std::uint32_t job = 0;
     task_index index = 0;
@@ -20,7 +20,7 @@
     time_point sent;
 };
 
-// One agent's backend server for one service, as one entry sees it.
+// State of one agent's backend server for one service, as one entry sees it.
 struct scheduler_backend {
     std::uint32_t agent = 0;
     // Announced concurrency; 0 if the service is no longer offered.
@@ -29,16 +29,16 @@
     // Run time of tasks here relative to the typical run time of tasks of their class; 2 is half as fast.
     speed_estimate slowness;
     ejection health;
-    // The last report, or the assignment to the idle backend server if that is later.
+    // Time of the last report, or of an assignment to the idle backend server if that is later.
     time_point quiet_since;
-    // Job of the last failure plus 1; 0 if there was none.
+    // Job number of the last failure plus 1; 0 if there was no failure.
     std::uint32_t last_failed_job = 0;
-    // Tasks of other entries as of the last report, and when that was.
+    // Tasks of other entries according to the last report, and the time of that report.
     double others = 0;
     time_point others_at;
     // The earliest pending wakeup.
     std::optional<time_point> wakeup;
-    // What this backend server contributes to the service's sums.
+    // This backend server's contribution to the sums of the service.
     bool is_serving = false;
     bool is_ejected = false;
     double rate = 0;
--- a/coordination/scheduler_job.h
+++ b/coordination/scheduler_job.h
@@ -9,37 +9,37 @@
 
 namespace persimmonstile {
 
-// What the scheduler keeps of a job with waiting or assigned tasks. Tasks that were never assigned are a
-// range, so that a job of many tasks costs no more than a small one.
+// State that the scheduler keeps for a job with waiting or assigned tasks. Tasks that were never assigned are
+// stored as a range, so that a job of many tasks costs no more than a small one.
 struct scheduler_job {
     const job_id* id = nullptr;
     std::uint32_t service = 0;
     std::uint32_t team = 0;
     bool is_request = false;
-    // Ended; the record stays until its assigned tasks have come back.
+    // The job has ended; the record remains until its assigned tasks have returned.
     bool withdrawn = false;
-    // In the fair queue.
+    // The job is in the fair queue.
     bool queued = false;
     std::uint8_t size_class = 0;
     std::uint8_t task_class = 0;
     time_point deadline;
-    // Place within the team, see fair_queue::position.
+    // Sort key within the team, see fair_queue::position.
     double order = 0;
     task_index next = 0;
     task_index end = 0;
     std::vector<task_index> returned;
     std::uint32_t in_flight = 0;
-    // Tasks that came back not started and have not been queued again yet.
+    // Tasks that returned without having started and have not been queued again yet.
     std::uint32_t awaiting_requeue = 0;
-    // How many of them count against the retry budget.
+    // Number of those tasks that count against the retry budget.
     std::uint32_t retries = 0;
-    // Queued again, but held until the retry budget allows them.
+    // Tasks to be queued again that are held until the retry budget allows them.
     std::vector<task_index> held;
 
     std::size_t ready() const { return end - next + returned.size(); }
     std::size_t waiting() const { return ready() + held.size(); }
 
-    // Requires ready() > 0. Tasks that came back go first.
+    // Requires ready() > 0. Returned tasks go first.
     task_index take() {
         if (returned.empty())
             return next++;
--- a/coordination/scheduler_service.h
+++ b/coordination/scheduler_service.h
@@ -15,7 +15,7 @@
 
 namespace persimmonstile {
 
-// Backend servers and waiting tasks of one service.
+// Keeps the backend servers and waiting tasks of one service.
 template <typename policy> struct scheduler_service {
     std::string name;
     policy placement;
@@ -24,25 +24,25 @@
     fair_queue queue;
     std::size_t waiting = 0;
     std::size_t in_flight = 0;
-    // Part of the places that are taken, as arriving jobs find it, and the sizes of these jobs.
+    // Utilization as arriving jobs see it, as a fraction of the capacity, and the sizes of these jobs.
     double busy = 0;
     admission_job_mix mix;
-    // By number; the first one is that of jobs.
+    // By class number; class 0 is that of jobs.
     std::vector<scheduler_task_class> task_classes{1};
     std::unordered_map<std::string, std::uint8_t> class_by_method;
     // Typical and mean run time in seconds over all classes.
     speed_estimate typical{256};
     double mean_seconds = 0;
-    // Backend servers that take tasks, and how many of them are ejected.
+    // Number of backend servers that accept tasks, and how many of them are ejected.
     std::size_t serving = 0;
     std::size_t ejected = 0;
     // Tasks of typical run time per second that the backend servers can complete for this entry.
     double rate = 0;
-    // The same for this entry's part of the slots alone.
+    // The same rate with this entry's part of the slots only.
     double part_rate = 0;
     // Sum of the failure ratios of the backend servers that are not ejected.
     double failure_sum = 0;
-    // A backend server has offered the service at some time.
+    // True if any backend server has ever offered the service.
     bool was_served = false;
 };
 
--- a/coordination/scheduler_task_class.h
+++ b/coordination/scheduler_task_class.h
@@ -7,11 +7,11 @@
 
 namespace persimmonstile {
 
-// Tasks of one service that are alike: those of jobs, or the requests of one method.
+// Run time statistics of similar tasks of one service: those of jobs, or the requests of one method.
 struct scheduler_task_class {
-    // Typical run time in seconds. Averaged over many samples, because all slowness is relative to it.
+    // Typical run time in seconds, averaged over many samples because slowness is measured relative to it.
     speed_estimate typical{256};
-    // Mean run time in seconds, which unlike the typical one counts long tasks in full.
+    // Mean run time in seconds. Unlike the typical run time it counts long tasks in full.
     double mean_seconds = 0;
     std::uint32_t samples = 0;
     time_point last_admitted;
--- a/coordination/scheduler_team.h
+++ b/coordination/scheduler_team.h
@@ -5,15 +5,15 @@
 
 namespace persimmonstile {
 
-// What the scheduler keeps of a team across all services.
+// State that the scheduler keeps for a team across all services.
 struct scheduler_team {
     std::uint32_t share = 1;
-    // Bound on the tasks that this entry runs at once for the team; 0 means none.
+    // Maximum number of tasks that this entry runs at once for the team; 0 means no limit.
     std::uint32_t max_running = 0;
     std::uint32_t running = 0;
-    // State last given to the queues.
+    // Blocked state that was last passed to the queues.
     bool blocked = false;
-    // Services in whose queue the team has appeared.
+    // Services whose queue has contained jobs of the team.
     std::vector<std::uint32_t> services;
 
     bool is_blocked() const { return max_running > 0 && running >= max_running; }
