--- a/coordination/fair_queue.h
+++ b/coordination/fair_queue.h
@@ -62,6 +62,7 @@
 private:
     using job_set = std::set<std::pair<double, job_number>>;
 
+    // Queue state of one team.
     struct flow {
         double share = 1;
         // Virtual time at which the team's next task starts.
--- a/coordination/job_locator.h
+++ b/coordination/job_locator.h
@@ -53,6 +53,7 @@
     std::optional<time_point> next_wakeup() const;
 
 private:
+    // A question of a caller that has not been answered yet.
     struct lookup {
         caller_token token = 0;
         job_id job;
--- a/coordination/job_table.h
+++ b/coordination/job_table.h
@@ -52,6 +52,7 @@
     std::size_t retained_bytes() const { return retained_bytes_; }
 
 private:
+    // State of a partition that the shard owns.
     struct owned_partition {
         epoch_number epoch = 0;
         bool first_epoch = false;
@@ -62,6 +63,7 @@
         std::unordered_set<std::uint64_t> inherited;
         std::set<incarnation> suspects;
     };
+    // An agent that stopped as planned, with the jobs that it listed.
     struct parted_agent {
         time_point when;
         std::unordered_set<std::uint64_t> jobs;
--- a/coordination/scheduler.h
+++ b/coordination/scheduler.h
@@ -88,6 +88,7 @@
         std::size_t operator()(const incarnation& agent) const { return agent.number; }
     };
 
+    // Time at which a backend server must be refreshed.
     struct wakeup {
         time_point time;
         std::uint32_t service = 0;
