--- a/coordination/agent_actions.h
+++ b/coordination/agent_actions.h
@@ -11,8 +11,8 @@
 
 namespace persimmonstile {
 
-// Send this task to the backend server now. The request is given up at give_up, after which its result is
-// unknown.
+// A task that the agent must send to the backend server now. The request times out at give_up; its result is
+// then unknown.
 struct backend_call {
     job_id job;
     task_index index = 0;
@@ -26,17 +26,17 @@
     time_point give_up;
 };
 
-// A task message for an entry.
+// A task message and the entry that receives it.
 struct entry_send {
     incarnation to;
     task_message message;
 };
 
-// What the agent has to do after an event of its task table.
+// What the agent must do after an event in its task table.
 struct agent_actions {
     std::vector<backend_call> calls;
     std::vector<entry_send> sends;
-    // Entry that should send a newer configuration or owner table; empty name for none.
+    // The entry to fetch a newer configuration or owner table from. The name is empty if nothing is fetched.
     incarnation fetch_from;
 };
 
--- a/coordination/agent_directory.h
+++ b/coordination/agent_directory.h
@@ -10,15 +10,16 @@
 
 namespace persimmonstile {
 
-// The agents that an entry has met. Views stay at their place while they are known.
+// Holds an entry's view of every agent that has connected to it. References to a view stay valid until
+// forget().
 class agent_directory {
 public:
-    // The view of the agent with this name, made if it is new.
+    // Returns the view of the agent with this name; creates it if there is none.
     agent_view& by_name(const std::string& name);
     agent_view* by_link(link_number link);
     agent_view* by_number(agent_number number);
 
-    // Binds the link to the agent. Returns the link that it had before, or 0.
+    // Assigns the link to the agent. Returns the agent's previous link if it differs, otherwise 0.
     link_number connect(agent_view& agent, link_number link);
     void disconnect(agent_view& agent);
     void forget(agent_number number);
--- a/coordination/agent_limits.h
+++ b/coordination/agent_limits.h
@@ -9,73 +9,74 @@
 
 namespace persimmonstile {
 
-// Figures by which an agent works.
+// Timeouts, intervals and other limits of an agent.
 struct agent_limits {
-    // Longest lease that the backend server grants; a setting of the platform.
+    // Longest lease that the backend server grants. Set by the platform.
     milliseconds longest_lease{1000};
-    // What is asked for: a little more, because the estimate of the backend server's clock may be behind. The
-    // backend server cuts it to the longest.
+    // Duration of the lease that the agent requests. It is slightly longer than the maximum because the
+    // estimate of the backend server's clock may be behind. The backend server limits it to the maximum.
     milliseconds asked_lease() const { return longest_lease + milliseconds{20}; }
-    // By when a lease has run out that was asked for now: clocks differ by up to 2% in rate, and the order
-    // was on its way.
+    // Time after which a lease that is requested now has certainly expired. It allows for clock rates that
+    // differ by up to 2% and for the time that the order is in flight.
     milliseconds lease_bound() const {
         constexpr milliseconds margin{30};
         return asked_lease() + asked_lease() / 50 + margin;
     }
-    // Callers whose connection broke send their jobs again after this time; a setting of the platform.
+    // Callers that lost their connection send their jobs again after this time. Set by the platform.
     milliseconds caller_resend = usual_caller_resend;
-    // A waiting hold order is answered after this time at the latest. If its answer is lost, the ends of runs
-    // are seen this much later, which is a third of the objective of the shortest tasks (156 ms).
+    // Maximum time that a backend server delays its answer to a hold order. If the answer is lost, the agent
+    // learns of ended runs this much later, which is a third of the objective of the shortest tasks (156 ms).
     milliseconds hold_wait{60};
-    // Bounds of the time after which an order counts as unanswered. It is learnt from the answers: a backend
-    // server on the same machine answers within a millisecond, but a slowed agent reads it much later.
-    // Raising the token after a false alarm costs one more order.
+    // Bounds of the timeout of an order. The timeout is estimated from past answers: a backend server on the
+    // same machine answers within a millisecond, but a slow agent reads the answer much later. A timeout that
+    // was too short costs one more order, which raises the fencing token.
     milliseconds shortest_order_timeout{15};
     milliseconds longest_order_timeout{60};
-    // A backend server counts as silent if it answered no order that was sent later than this. Two unanswered
-    // orders may be bad luck where some of them are lost.
+    // A backend server counts as unresponsive if it has answered no order sent within this time. Two
+    // unanswered orders alone prove nothing where orders are lost.
     milliseconds silence_limit{200};
-    // An acknowledgement is sent only if the backend server answered an order that is not older. One that has
-    // started again since would take the numbers for its own, and a start takes longer than this.
+    // Ends are acknowledged only if the backend server answered an order sent within this time. A backend
+    // server that has restarted since would apply the numbers to its own ends, and a restart takes longer
+    // than this.
     milliseconds acknowledgement_age{400};
-    // Pause before a backend server that does not answer is asked again.
+    // Retry delay for a backend server that does not answer.
     milliseconds retry_pause{100};
-    // Start orders that are on their way at the same time. Each needs a connection.
+    // Maximum number of start orders in flight. Each needs a connection.
     std::size_t parallel_starts = 8;
-    // A run that waits longer for room goes back to its owner, which may know a better place. The shortest
-    // jobs have about 50 ms to spare, and the way back and to another place takes some of it.
+    // A run that is queued for longer than this is returned to its owner, which may find another agent for
+    // it. The shortest jobs have about 50 ms to spare, and moving the run to another agent takes part of
+    // that.
     milliseconds queue_patience{30};
-    // Least time between two messages to one entry that only tell the room, or that runs have begun. Newer
-    // news would make all entries compete for each place that becomes free; and an agent that told many
-    // entries more often would work for its messages more than for its runs, so the time grows with their
-    // number.
+    // Minimum time between two messages to one entry that report only free capacity or started runs. With
+    // more frequent messages all entries would compete for every slot that becomes free. The time grows with
+    // the number of entries, or an agent with many entries would spend more time on messages than on its
+    // runs.
     milliseconds shortest_room_interval{60};
     milliseconds room_interval_per_entry{10};
     milliseconds room_interval(std::size_t entries) const {
         return std::max(shortest_room_interval, room_interval_per_entry * static_cast<std::int64_t>(entries));
     }
-    // The agent asks an entry whether it lives if it has had no sign of that for so long.
+    // The agent pings an entry that has echoed no clock reading for this time.
     milliseconds ping_interval{300};
-    // Runs without a known owner are offered to the entries this often, because an entry may have adopted
-    // their jobs meanwhile.
+    // Interval at which runs without a known owner are offered to the entries. An entry may have adopted
+    // their jobs since the last offer.
     milliseconds offer_interval{1000};
-    // An end whose owner has been away for so long is offered to all entries: the owner's successor may never
-    // have met this agent.
+    // If the owner of an ended run has been unreachable for this time, the end is offered to all entries. The
+    // owner's successor may never have connected to this agent.
     milliseconds owner_patience{6000};
-    // Without progress for a quarter of its expected run time a task counts as stalled: progress is told in
-    // hundredths, and a slow backend server may take several times as long as expected. Bounded below by two
-    // waits for a list, and above because expectations may be wrong.
+    // A task counts as stalled after a quarter of its expected run time without progress. Progress is
+    // reported in percent, and a slow backend server may take several times as long as expected. The minimum
+    // allows for two waits for a list; the maximum limits the effect of a wrong expectation.
     milliseconds shortest_stall{100};
     milliseconds longest_stall{400};
     milliseconds stall_limit(milliseconds expected) const {
         return expected.count() == 0 ? longest_stall
                                      : std::clamp(expected / 4, shortest_stall, longest_stall);
     }
-    // While it is not known whether a backend server that was suspect is sound again, it gets this part of
-    // its room.
+    // A backend server that was suspect is offered its capacity divided by this until a run succeeds.
     static constexpr std::int64_t probation_divisor = 8;
-    // A list that came sooner than asked for without anything new is followed by the next one after this
-    // time, so that ends which wait for their record do not make the agent ask without a pause.
+    // Delay before the next list is requested after one that arrived early and showed no new end. Without it,
+    // ends that are not yet recorded would make the agent request lists in a busy loop.
     milliseconds list_pause{10};
 };
 
--- a/coordination/agent_output.h
+++ b/coordination/agent_output.h
@@ -11,15 +11,15 @@
 
 namespace persimmonstile {
 
-// Numbers the connections of a daemon to its peers; never used again after the connection closed.
+// Identifies a connection of a daemon to a peer. A number is never reused.
 using link_number = std::uint64_t;
 
-// What an agent does in consequence of an event.
+// The orders, messages and log records that an agent produces after an event.
 struct agent_output {
     std::vector<backend_order> orders;
     std::vector<std::pair<link_number, work_message>> messages;
     std::vector<decision> decisions;
-    // How runs ended, for metrics.
+    // Final states of the runs that ended, for metrics.
     std::vector<run_state> ends;
 };
 
--- a/coordination/agent_presence.h
+++ b/coordination/agent_presence.h
@@ -7,7 +7,7 @@
 
 namespace persimmonstile {
 
-// A connection to the agent was (re)established, or the incarnation is gone for good.
+// Reports that a connection to the agent was opened or reopened, or that the incarnation is permanently gone.
 struct agent_presence {
     incarnation agent;
     bool gone = false;
--- a/coordination/agent_view.h
+++ b/coordination/agent_view.h
@@ -16,9 +16,9 @@
 
 namespace persimmonstile {
 
-// What an entry knows of one agent and the backend server beside it.
+// What an entry knows about one agent and its backend server.
 struct agent_view {
-    // Stands for the start message of a run that was claimed after the agent had restarted.
+    // Used instead of a start message number for a run that was claimed after the agent restarted.
     static constexpr std::uint64_t claimed = std::numeric_limits<std::uint64_t>::max();
 
     agent_number number = 0;
@@ -26,30 +26,31 @@
     // 0 while not connected.
     link_number link = 0;
     agent_profile profile;
-    // The record of the agent is in the store, so a successor of this entry would ask it.
+    // The agent is recorded in the store, so a successor of this entry would query it.
     bool is_recorded = false;
-    // The agent has told everything that it knows of the runs of jobs that are not kept, and of kept ones,
-    // since it connected.
+    // Since it connected, the agent has reported all runs of jobs that are not kept (is_introduced) and of
+    // kept jobs (is_session_introduced).
     bool is_introduced = false;
     bool is_session_introduced = false;
     agent_room room;
-    // Start messages on this connection, and the needs in those that the room does not include.
+    // Number of start messages sent on this connection, and the resource needs of those that `room` does not
+    // include yet.
     std::uint64_t starts_sent = 0;
     std::deque<std::pair<std::uint64_t, resources>> unseen;
-    // Runs of this entry that were given to the agent and have not ended, with the start message on this
-    // connection; 0 for those of an earlier connection.
+    // Runs that this entry sent to the agent and that have not ended, each with the number of its start
+    // message on this connection. The number is 0 for runs of an earlier connection.
     std::map<run_ref, std::uint64_t> runs;
-    // When the newest clock reading of the agent came. The agent counts from its sending how long it may keep
-    // runs going without news of this entry.
+    // When the latest clock reading of the agent arrived. The time for which the agent may keep runs going
+    // without contact to this entry starts when it sent that reading.
     time_point heard{};
-    // That reading, to be echoed; 0 before the first one on this connection.
+    // The clock reading to echo. 0 before the first one on this connection.
     std::int64_t last_reading_ns = 0;
-    // Run time in units of the expected one.
+    // Actual run time divided by the expected run time.
     speed_estimate slowness{16};
-    // The agent has just refused a run; what it knows and this entry does not arrives shortly.
+    // Set after the agent refused a run. By this time a message with the agent's current state should arrive.
     time_point refused_until{};
 
-    // Room that is left when everything that was sent has arrived.
+    // Capacity that remains after all runs that were sent to the agent.
     resources free() const {
         resources left = room.free - room.queued;
         for (const auto& [number_sent, needs] : unseen)
--- a/coordination/announcement.h
+++ b/coordination/announcement.h
@@ -5,7 +5,7 @@
 
 namespace persimmonstile {
 
-// What a backend server says of itself to the agent beside it.
+// What a backend server announces about itself to its agent.
 struct announcement {
     std::string service;
     std::string url;
--- a/coordination/backend_announcement.h
+++ b/coordination/backend_announcement.h
@@ -6,10 +6,10 @@
 
 namespace persimmonstile {
 
-// What a backend server reported to its agent.
+// A profile that a backend server reported to its agent, with its sequence number and clock reading.
 struct backend_announcement {
     backend_profile profile;
-    // Grows with each report of one life, so that a delayed report is recognised.
+    // Increases with each report within one life, so that a stale report is detected.
     std::uint64_t sequence = 0;
     std::int64_t clock_ms = 0;
 };
--- a/coordination/backend_clock.h
+++ b/coordination/backend_clock.h
@@ -7,9 +7,8 @@
 
 namespace persimmonstile {
 
-// Estimate of a backend server's clock from the readings in its answers. Answers take time to arrive and the
-// clocks run at rates that differ by up to 2%, so the estimate is good to a few milliseconds while answers
-// come.
+// Estimates a backend server's clock from the readings in its answers. Answers take time to arrive and clock
+// rates differ by up to 2%, so the estimate is accurate to a few milliseconds while answers keep arriving.
 class backend_clock {
 public:
     void observe(std::int64_t reading_ms, time_point now) {
@@ -20,7 +19,7 @@
 
     bool is_known() const { return is_known_; }
 
-    // Milliseconds on the backend server's clock; 0 while it is unknown.
+    // Time on the backend server's clock in milliseconds; 0 while it is unknown.
     std::int64_t at(time_point now) const {
         if (!is_known_)
             return 0;
--- a/coordination/backend_health.cpp
+++ b/coordination/backend_health.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Failed jobs in a row after which a backend server is avoided. A healthy one fails 2 of 1,000 runs, so two
-// in a row are hardly chance.
+// Number of consecutive failed jobs after which a backend server is avoided. On a healthy one 2 of 1,000 runs
+// fail, so two in a row are unlikely to be chance.
 constexpr std::uint32_t most_failures = 2;
 
-// A pause is short at first, because most troubles last for seconds, and doubles while they go on.
+// The first pause is short because most faults last for seconds. It doubles while the fault persists.
 constexpr milliseconds first_pause{1000};
 constexpr milliseconds longest_pause{8000};
 
@@ -29,7 +29,7 @@
         return false;
     pause_ = std::clamp(pause_ * 2, first_pause, longest_pause);
     avoided_until_ = now + pause_;
-    // After the pause one failure is enough.
+    // After the pause a single failure starts the next one.
     failures_in_a_row_ = most_failures - 1;
     return true;
 }
--- a/coordination/backend_health.h
+++ b/coordination/backend_health.h
@@ -7,18 +7,18 @@
 
 namespace persimmonstile {
 
-// Whether a backend server is to get work, judged by what became of its runs. Its own reports are not enough:
-// one that fails or stalls everything may call itself ready.
+// Decides from the outcomes of its runs whether a backend server gets work. Its own reports are not enough: a
+// backend server on which every run fails or stalls may still report that it is ready.
 class backend_health {
 public:
     void succeeded();
-    // A run failed, stalled, or was refused as unhealthy. Failures of one job count once, because its tasks
-    // may all be faulty. True if the backend server is avoided from now on.
+    // Records that a run failed, stalled, or was refused as unhealthy. Consecutive failures of one job count
+    // once, because all its tasks may be faulty. Returns true if the backend server is avoided from now on.
     bool failed(const job_id& job, time_point now);
 
     bool is_avoided(time_point now) const { return now < avoided_until_; }
     time_point avoided_until() const { return avoided_until_; }
-    // The pause is over, and no run has succeeded since.
+    // The pause has ended, and no run has succeeded since.
     bool is_on_probation(time_point now) const { return pause_.count() > 0 && !is_avoided(now); }
 
 private:
--- a/coordination/backend_order.h
+++ b/coordination/backend_order.h
@@ -10,20 +10,20 @@
 
 namespace persimmonstile {
 
-// The backend server starts a run. A repetition of the same order starts nothing more.
+// Tells the backend server to start a run. Idempotent: a repeated order starts no second run.
 struct start_order {
     run_ref run;
     std::string payload;
     std::string checkpoint;
 };
 
-// The backend server ends a run, or will refuse to start it.
+// Tells the backend server to stop a run, or to refuse a later order to start it.
 struct stop_order {
     run_ref run;
 };
 
-// Renews the lease under which everything runs, acknowledges ends, and reads what runs and has ended. With a
-// wait the answer comes as soon as something ends.
+// Renews the lease of all runs, acknowledges ends, and reads the lists of running and ended runs. With a
+// nonzero wait the backend server answers as soon as a run ends.
 struct hold_order {
     std::uint64_t acknowledged_end = 0;
     milliseconds wait{0};
@@ -31,14 +31,14 @@
     bool renews = true;
 };
 
-// An order to a backend server with what is common to all of them.
+// An order to a backend server, with the fields that all kinds of orders have.
 struct backend_order {
     std::uint64_t id = 0;
-    // The backend server ignores orders with a lower token than the highest one that it has seen.
+    // The backend server refuses orders with a lower token than the highest one that it has seen.
     std::uint64_t fencing_token = 0;
     // End of the lease, by the clock of the backend server.
     std::int64_t lease_until_ms = 0;
-    // Without an answer after this time the order is in doubt.
+    // If no answer arrives within this time, it is unknown whether the order was executed.
     milliseconds timeout{0};
     std::variant<start_order, stop_order, hold_order> action;
 };
--- a/coordination/backend_reply.h
+++ b/coordination/backend_reply.h
@@ -11,16 +11,16 @@
 namespace persimmonstile {
 
 // How a backend server answered an order.
-//   accepted        carried out, or had been already
+//   accepted        executed now or earlier
 //   fenced          refused for its fencing token
-//   old_run         this run, or a higher one of the task, was stopped or has ended there
-//   late            refused because the lease in it had run out
+//   old_run         this run, or a later run of the task, was stopped or has ended there
+//   late            refused because the lease in the order had expired
 //   no_room         refused because the task does not fit
 //   unhealthy       refused for now; nothing was done
-//   invalid         the order makes no sense to the backend server
+//   invalid         the backend server could not interpret the order
 //   other_instance  another backend server answered
 //   not_sent        the order never reached a backend server
-//   no_answer       may have been carried out, or may be later
+//   no_answer       may have been executed, or may still be executed later
 enum class backend_verdict : std::uint8_t {
     accepted,
     fenced,
@@ -60,14 +60,14 @@
     return "no_answer";
 }
 
-// A run in the list of those that work.
+// An element of the list of running runs.
 struct listed_run {
     run_ref run;
     std::string checkpoint;
     std::uint32_t percent = 0;
 };
 
-// A run in the list of those that have ended and are not acknowledged.
+// An element of the list of ended runs that are not yet acknowledged.
 struct listed_end {
     std::uint64_t number = 0;
     run_ref run;
@@ -79,11 +79,11 @@
 struct backend_reply {
     std::uint64_t id = 0;
     backend_verdict verdict = backend_verdict::no_answer;
-    // The backend server's clock when it answered; 0 if the answer does not tell.
+    // The backend server's clock when it answered; 0 if the answer does not contain it.
     std::int64_t clock_ms = 0;
-    // Life of the backend server that answered; 0 if the answer does not tell.
+    // Life of the backend server that answered; 0 if the answer does not contain it.
     std::uint64_t life = 0;
-    // Of an accepted hold order only.
+    // Both lists are filled only for an accepted hold order.
     std::vector<listed_run> running;
     std::vector<listed_end> ended;
 };
--- a/coordination/call_pacer.cpp
+++ b/coordination/call_pacer.cpp
@@ -8,7 +8,7 @@
 
 using fractional_seconds = std::chrono::duration<double>;
 
-// Beyond this many doublings every sensible first backoff has reached its maximum.
+// After this many doublings any realistic first backoff has reached the maximum.
 constexpr unsigned maximum_doublings = 16;
 
 } // namespace
@@ -37,7 +37,7 @@
     const auto doubled = settings_.first_backoff * (1U << std::min(failures_, maximum_doublings));
     const auto bound = std::min<milliseconds>(doubled, settings_.maximum_backoff);
     ++failures_;
-    // At least half of the bound, so that a run of small random numbers does not undo the backoff.
+    // At least half of the bound, so that a series of small random numbers does not cancel the backoff.
     std::uniform_real_distribution<double> share{0.5, 1.0};
     not_before_ = now + std::chrono::duration_cast<boot_clock::duration>(bound * share(random_));
 }
--- a/coordination/call_pacer.h
+++ b/coordination/call_pacer.h
@@ -7,20 +7,20 @@
 
 namespace persimmonstile {
 
-// Bounds of the calls that one process makes to the store.
+// Rate limit and backoff of the calls that one process makes to the store.
 struct call_pacer_settings {
     // 200 entries and commands at this rate stay within the store's 2,000 reads/s.
     double calls_per_second = 10;
-    // Calls that may be made at once after an idle time.
+    // Number of calls that may be made at once after an idle period.
     double burst = 20;
-    // Delay after the first failure; it doubles with every further one up to the maximum.
+    // Delay after the first failure. It doubles with each further failure up to the maximum.
     milliseconds first_backoff{50};
     milliseconds maximum_backoff{2000};
 };
 
-// Decides how long a caller waits before its next call: a token bucket, and after failures an exponential
-// backoff. The backoff is jittered, because the clients of a store that returns would otherwise call at the
-// same moment. Not synchronised.
+// Decides how long a caller waits before its next call: a token bucket limits the rate, and failures add an
+// exponential backoff. The backoff has jitter, because all clients would otherwise call a recovered store at
+// the same moment. Not thread-safe.
 class call_pacer {
 public:
     call_pacer(call_pacer_settings settings, std::uint64_t seed);
--- a/coordination/clock_tick.h
+++ b/coordination/clock_tick.h
@@ -4,7 +4,7 @@
 
 namespace persimmonstile {
 
-// Time went on; deadlines may have passed.
+// Reports that time has passed, so deadlines may have expired.
 struct clock_tick {
     static constexpr auto members() { return std::make_tuple(); }
 };
