--- a/coordination/agent_tasks.cpp
+++ b/coordination/agent_tasks.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-// A queue of one task for each slot hides the round trip to the owner; more would hold tasks that a faster
-// agent could have run.
+// One queued task per slot hides the round trip to the owner. A longer queue would hold tasks that a faster
+// agent could run.
 constexpr std::uint32_t queued_per_slot = 1;
 
-// A call is given up this long after the deadline of its job. The owner has answered the caller by then, and
-// the slot of a backend server that never answers becomes free.
+// A call times out this long after the deadline of its job. By then the owner has answered the caller. The
+// timeout frees the slot of a backend server that never answers.
 constexpr milliseconds give_up_margin{1000};
 
-// Accepted tasks that may not start for this long are handed back to the owner.
+// Accepted tasks that may not start for this long are returned to the owner.
 constexpr milliseconds blocked_queue_limit{500};
 
 task_report unstarted_report(task_index index, std::uint32_t attempt, refusal reason) {
@@ -107,7 +107,7 @@
 
 agent_actions agent_tasks::dispatched(const incarnation& owner, const dispatch& message, time_point now) {
     agent_actions actions;
-    // Only the named incarnation can say what became of the tasks, so another one must not answer.
+    // Only the target incarnation knows the state of the tasks, so no other one may answer.
     if (message.target != self_) {
         ++stale_messages_;
         return actions;
@@ -148,7 +148,7 @@
             const bool later =
                 std::pair{message.epoch, task.attempt} > std::pair{record.epoch, record.attempt};
             if (!(later && may_start_again(record, message.idempotent))) {
-                // The task keeps its one run, and its result answers the later attempt too. A copy of a
+                // The task is not started again, and its result also answers the later attempt. A duplicate
                 // dispatch is answered with the result if there is one; otherwise the result follows.
                 if (later) {
                     record.epoch = message.epoch;
@@ -181,7 +181,8 @@
     return actions;
 }
 
-// A refused attempt never ran. One whose result was lost may run again only if the request is idempotent.
+// A refused attempt never ran. An attempt whose result was lost may run again only if the request is
+// idempotent.
 bool agent_tasks::may_start_again(const task_record& record, bool idempotent) {
     if (record.state != phase::ended)
         return false;
@@ -244,7 +245,8 @@
         const auto [task, is_unknown] = job.tasks.try_emplace(revoked.index);
         task_record& record = task->second;
         if (is_unknown) {
-            // The dispatch is still on its way, possibly behind this message. The record makes it a copy.
+            // The dispatch may still be in flight and arrive after this message. The record makes it a
+            // duplicate.
             record.epoch = message.epoch;
             record.attempt = revoked.attempt;
             ++job.open;
@@ -278,13 +280,13 @@
         job.owner = owner;
         job.epoch = message.epoch;
         for (auto& [index, record] : job.tasks) {
-            // A query of the record's own epoch is a late copy, whose answer the owner ignores.
+            // A query with the record's own epoch is a late duplicate, whose answer the owner ignores.
             if (record.state == phase::queued && record.epoch < message.epoch)
                 end_unstarted(job, index, record, refusal::revoked, now);
             task_report entry = record.report;
             entry.index = index;
             entry.attempt = record.attempt;
-            // The new owner adopts this attempt, so its dispatches of the same attempt are copies.
+            // The new owner adopts this attempt, so its dispatches of the same attempt are duplicates.
             if (record.state != phase::ended) {
                 record.epoch = message.epoch;
                 entry.status = task_status::running;
@@ -354,7 +356,7 @@
         return;
     job_tasks& job = found->second;
     task_record& record = job.tasks.at(next.index);
-    // Revoked tasks stay in the queue until they are met here.
+    // Revoked tasks stay in the queue and are skipped here.
     if (record.state != phase::queued)
         return;
     if (job.deadline <= now) {
--- a/coordination/agent_tasks.h
+++ b/coordination/agent_tasks.h
@@ -23,23 +23,24 @@
 
 namespace persimmonstile {
 
-// The tasks of one agent: acceptance, deduplication, the decision to start, results. It is the last place
-// that can stop a second start, so each start passes may_start. Deterministic and without I/O; the caller
-// serialises the calls.
+// Accepts, deduplicates and starts the tasks of one agent and reports their results. It is the last check
+// that can prevent a second start of a task, so may_start is checked before every start. Deterministic and
+// without I/O. Not thread-safe.
 class agent_tasks {
 public:
     agent_tasks(incarnation self, std::string zone, std::string rack);
 
-    // Inputs of the start condition.
+    // Inputs of may_start.
     agent_actions set_table(const owner_table& table, time_point now);
     agent_actions set_fleet(std::shared_ptr<const fleet_view> fleet, time_point now);
-    // The view is known to be current until the given time, which never moves back.
+    // The configuration and owner table are known to be current until this time. An earlier time than before
+    // is ignored.
     agent_actions extend_lease(time_point until, time_point now);
     agent_actions set_recorded(time_point now);
-    // Refuses new tasks from now on; accepted ones that have not started are refused, running ones finish.
+    // Refuses new tasks and accepted tasks that have not started. Running tasks finish.
     agent_actions drain(time_point now);
 
-    // Returns true if the status that entries know has changed.
+    // Returns true if the announcement differs from the previous one, so that entries need the new status.
     bool announced(const announcement& announced, time_point now);
 
     agent_actions dispatched(const incarnation& owner, const dispatch& message, time_point now);
@@ -47,17 +48,19 @@
     agent_actions queried(const incarnation& owner, const query_job& message, time_point now);
     agent_actions answered(const job_id& job, task_index index, const backend_result& result, time_point now);
 
-    // Announcements and task deadlines that ran out, records past the deduplication window.
+    // Handles expired announcements and task deadlines, and deletes records older than the deduplication
+    // window.
     agent_actions tick(time_point now);
 
-    // Hashes of all jobs of which there is a record, for agent_parting.
+    // Hashes of all jobs that have a record, for agent_parting.
     std::vector<std::uint64_t> known_jobs() const;
 
     agent_status status() const;
-    // True once after an announcement ran out, so that entries can be told.
+    // Returns true once after an announcement has expired, so that the entries can be notified.
     bool take_status_change();
     std::size_t running() const { return running_count_; }
-    // Dispatches and revocations that named an old epoch or another incarnation.
+    // Number of dispatches, revocations and queries with a stale epoch, and of dispatches to another
+    // incarnation.
     std::size_t stale_messages() const { return stale_messages_; }
 
 private:
--- a/coordination/ejection.cpp
+++ b/coordination/ejection.cpp
@@ -8,32 +8,33 @@
 
 namespace {
 
-// The run of failures that ejects must be rarer than this by chance.
+// Maximum probability that the consecutive failures behind an ejection are chance.
 constexpr double chance_limit = 1e-3;
 constexpr std::uint32_t fewest_failures = 3;
 constexpr std::uint32_t most_failures = 20;
 
-// Failures in a row after which the window restarts from one task.
+// Number of consecutive failures after which the window is reset to one task.
 constexpr std::uint32_t failures_to_restart = 2;
 
-// The failure ratio is an average over about this many of the last tasks.
+// Weight of one task in the failure ratio, a moving average over about the last 16 tasks.
 constexpr float failure_weight = 1.0F / 16;
 
-// A probe is a caller's task and is lost if the backend server is still defective, so probes become rare
-// quickly. A silent backend server costs the caller the whole deadline, so its first probe comes late.
+// A probe is a caller's task and is lost if the backend server is still defective, so the backoff grows
+// quickly. An unresponsive backend server costs the caller the whole deadline, so its first probe is sent
+// later.
 constexpr std::chrono::seconds first_backoff{1};
 constexpr std::chrono::seconds first_backoff_after_silence{5};
 constexpr std::chrono::seconds longest_backoff{60};
 
-// This many successes after a readmission end the memory of earlier ejections.
+// Number of successes since the last ejection after which the backoff is reset.
 constexpr std::uint32_t successes_to_forget = 50;
 
-// Pause after a refusal; doubles with every refusal until a task succeeds.
+// Pause after a refusal. It doubles with each refusal until a task succeeds.
 constexpr std::chrono::milliseconds first_pause{5};
 constexpr std::chrono::milliseconds longest_pause{1000};
 
-// A ceiling is tried again after this time, in steps that double until the next refusal. With 8 slots and
-// tasks of 200 ms that is one refusal in 80 tasks of this backend server.
+// Interval at which the ceiling is raised, in steps that double until the next refusal. With 8 slots and
+// tasks of 200 ms this causes one refusal in 80 tasks of the backend server.
 constexpr std::chrono::seconds ceiling_interval{2};
 constexpr std::uint32_t no_ceiling = std::numeric_limits<std::uint32_t>::max();
 
@@ -56,13 +57,13 @@
         ceiling_step_ *= 2;
         ceiling_raised_ = now;
     }
-    // Beyond this the slots are the bound, and the window must not overflow.
+    // A larger window has no effect because the slots limit the load, and the window must not overflow.
     constexpr std::uint32_t largest_window = 1U << 20;
     window_ = std::min({window_ + 1, ceiling_, largest_window});
 }
 
 void ejection::failed(bool same_job) {
-    // The fast failures of a defective backend server must not free places for more work.
+    // Otherwise a defective backend server that fails tasks quickly would keep freeing capacity for more.
     if (++failures_in_a_row_ >= failures_to_restart)
         window_ = 1;
     if (same_job)
@@ -80,7 +81,7 @@
     } else {
         window_ = 1;
     }
-    // Several refusals of one batch count as one.
+    // Refusals of the same batch count once.
     if (now < paused_until_)
         return;
     pause_ = std::clamp<std::chrono::nanoseconds>(2 * pause_, first_pause, longest_pause);
--- a/coordination/ejection.h
+++ b/coordination/ejection.h
@@ -7,37 +7,41 @@
 
 namespace persimmonstile {
 
-// Why a backend server is ejected.
+// Reason for which a backend server is ejected.
 enum class ejection_cause : std::uint8_t { none, failures, silence, slowness };
 
-// Decides when a backend server is ejected, when it is probed, and how quickly it is loaded again. Works on
-// outcomes and times only; the scheduler limits how many backend servers are ejected at once.
+// Decides when a backend server is ejected, when it is probed, and how quickly its load increases after it is
+// readmitted. Uses only outcomes and times; the scheduler limits how many backend servers are ejected at
+// once.
 class ejection {
 public:
-    // Bound on the tasks at a backend server that is new or returns from an interruption.
+    // Sets the window, the maximum number of tasks at a backend server that is new or returns from an
+    // interruption.
     void start_with(std::uint32_t window);
 
-    // A task succeeded. Raises the window by one task, up to the ceiling that refusals have shown.
+    // Records that a task succeeded. Raises the window by one task, up to the ceiling learned from refusals.
     void succeeded(time_point now);
-    // A task failed. Failures of one job count once towards an ejection, because its tasks may all be faulty.
+    // Records that a task failed. Failures of one job count once towards an ejection, because all its tasks
+    // may be faulty.
     void failed(bool same_job);
-    // A task was refused while the given number of others was at the backend server. A full queue shows a
-    // ceiling; other refusals only restart the window.
+    // Records that a task was refused while the given number of other tasks was at the backend server. A full
+    // queue sets the ceiling; any other refusal only resets the window to one task.
     void refused(bool queue_full, std::uint32_t others, time_point now);
 
-    // True if so many failures in a row cannot be chance. usual_ratio is the failure ratio of the service's
-    // other backend servers.
+    // Returns true if the consecutive failures are too many to be chance. usual_ratio is the failure ratio of
+    // the service's other backend servers.
     bool fails_everything(double usual_ratio) const;
     double failure_ratio() const { return failure_ratio_; }
 
-    // Ejects until a probe is due. The time to the probe doubles with every ejection that follows shortly.
+    // Ejects the backend server and schedules a probe. The backoff before the probe doubles with each
+    // ejection until enough successes reset it.
     void eject(ejection_cause cause, time_point now);
-    // A probe or an earlier task has shown that the backend server works again. It is loaded step by step
-    // from the given window.
+    // Ends the ejection after a probe or an earlier task has shown that the backend server works again. Its
+    // load increases gradually from the given window.
     void readmit(std::uint32_t window);
-    // A probe succeeded, but one is not enough; another one may follow now.
+    // Allows another probe now, because one successful probe is not enough.
     void probe_again(time_point now) { probe_at_ = now; }
-    // A probe was sent; the next one is due only after a longer time.
+    // Records that a probe was sent. The next one is due after a longer backoff.
     void probe_sent(time_point now);
 
     bool is_ejected() const { return cause_ != ejection_cause::none; }
@@ -45,14 +49,14 @@
     time_point probe_at() const { return probe_at_; }
     std::uint32_t window() const { return window_; }
 
-    // No task before this time, after refusals.
+    // After refusals, no task is to be sent before this time.
     time_point paused_until() const { return paused_until_; }
 
 private:
     void lengthen_backoff();
 
     ejection_cause cause_ = ejection_cause::none;
-    // Failures since the last success: all, and those that count towards an ejection.
+    // Failures since the last success: all of them, and those that count towards an ejection.
     std::uint32_t failures_in_a_row_ = 0;
     std::uint32_t consecutive_failures_ = 0;
     // Successes since the last ejection.
--- a/coordination/end_acknowledger.h
+++ b/coordination/end_acknowledger.h
@@ -5,12 +5,13 @@
 
 namespace persimmonstile {
 
-// Works out up to which number the ends of one life of a backend server may be acknowledged. A backend server
-// numbers its ends from 1 and forgets all up to an acknowledged one, so an end is covered only when it and
-// all before it are recorded.
+// Computes the highest end number that may be acknowledged to one life of a backend server. A backend server
+// numbers ends from 1 and deletes all up to the acknowledged number, so a number may be acknowledged only if
+// that end and all before it are recorded.
 class end_acknowledger {
 public:
-    // The backend server listed this end; those below the first one that is listed are acknowledged already.
+    // Records that the backend server listed this end. All ends before the first listed one are already
+    // acknowledged.
     void listed(std::uint64_t number) {
         if (!has_listed_) {
             has_listed_ = true;
--- a/coordination/round_trip_estimate.h
+++ b/coordination/round_trip_estimate.h
@@ -7,8 +7,8 @@
 
 namespace persimmonstile {
 
-// Time to wait for an answer before the call is repeated: from the mean and the deviation of past answers, as
-// TCP does (RFC 6298), doubled after each missing answer.
+// Estimates the timeout of a call from the mean and deviation of past round-trip times, as TCP does
+// (RFC 6298). The timeout doubles after each missing answer.
 class round_trip_estimate {
 public:
     round_trip_estimate(milliseconds first, milliseconds shortest, milliseconds longest)
--- a/coordination/speed_estimate.cpp
+++ b/coordination/speed_estimate.cpp
@@ -8,23 +8,23 @@
 
 namespace {
 
-// Weight of the prior, in samples. Small, because the first run times on a machine say more about it than
-// the average of other machines.
+// Weight of the prior in samples. It is small because the first run times on a machine predict its speed
+// better than the average of other machines does.
 constexpr std::uint32_t prior_samples = 2;
 
-// ln 4. A sample counts as at most 4 times higher or lower than expected.
+// ln 4. Limits the effect of a sample to that of one 4 times higher or lower than expected.
 constexpr double outlier_limit = 1.386;
 
-// With task sizes that spread by a factor of e, 8% of the samples are high outliers; 4 in a row happen by
+// With task sizes that vary by a factor of e, 8% of the samples are high outliers. Four in a row occur by
 // chance once in 25,000 samples and then only make the estimate noisier for a while.
 constexpr std::int32_t outliers_for_change = 4;
 
-// While a change lasts, each sample moves the estimate by up to a factor of 2; afterwards the past has the
-// weight of a few samples.
+// During a change each sample moves the estimate by up to a factor of 2. Afterwards earlier samples together
+// have the weight of a few samples.
 constexpr double change_weight = 0.5;
 constexpr std::uint32_t samples_after_change = 2;
 
-// Values below the resolution of the reports.
+// Lower bound for the logarithm; smaller values are below the resolution of the reports.
 constexpr double smallest_value = 1e-6;
 
 double log_of(double value) {
