--- a/coordination/agent_core.cpp
+++ b/coordination/agent_core.cpp
@@ -27,7 +27,8 @@
     if (is_same_life && announcement.sequence <= last_sequence_)
         return;
     if (!is_same_life && !backend_.id.empty() && profile.life < backend_.life) {
-        note("ignored a delayed announcement of an earlier life", {}, {{"backend", profile.id}});
+        note("ignored a stale announcement from an earlier life of the backend server", {},
+             {{"backend", profile.id}});
         return;
     }
     if (!is_same_life)
@@ -50,8 +51,8 @@
     }
 }
 
-// Another life of the backend server. Nothing of the former one runs on, but orders on their way to it may
-// reach the new one, so their runs stay in doubt until the lists of the new life are read.
+// Starts tracking another life of the backend server. No run survives from the previous life, but orders in
+// flight to it may reach the new one. Their runs stay in doubt until the lists of the new life are read.
 void agent_core::begin_life(const std::string& id, std::uint64_t life, time_point now) {
     if (!backend_.id.empty())
         lose_backend(run_refusal::no_backend, true, now);
@@ -75,14 +76,14 @@
 void agent_core::left(const std::string& backend_id, time_point now) {
     if (backend_id != backend_.id)
         return;
-    note("backend server left", {}, {{"backend", backend_id}});
+    note("backend server announced its shutdown", {}, {{"backend", backend_id}});
     lose_backend(run_refusal::no_backend, false, now);
     backend_ = {};
     is_profiled_ = false;
 }
 
-// What ran has ended without a list that tells how. keeps_doubts: starts without an answer may still be
-// carried out.
+// Ends all runs on the backend server; no list will report their final states. With keeps_doubts, unanswered
+// start orders may still be executed, so their runs are kept.
 void agent_core::lose_backend(run_refusal reason, bool keeps_doubts, time_point now) {
     refuse_queued(reason, now);
     std::vector<run_ref> lost;
@@ -99,7 +100,7 @@
         given_up_.insert(run);
         end_run(*runs_.find(run), run_state::lapsed, reason, now);
     }
-    // Nobody can acknowledge ends to a life that is over; the owners have the reports.
+    // Ends of a previous life cannot be acknowledged any more, and they were already reported to the owners.
     for (const run_ref& run : ended)
         runs_.erase(run);
     is_settled_ = false;
@@ -121,7 +122,7 @@
 }
 
 void agent_core::tick(time_point now) {
-    // Without a backend server nothing of an earlier process can run on after the longest lease.
+    // If no backend server is known, no run of an earlier agent process can outlast the longest lease.
     if (!are_owners_told_ && backend_.id.empty() && now - started_ >= limits_.lease_bound()) {
         tell_owners(now);
     }
--- a/coordination/agent_core.h
+++ b/coordination/agent_core.h
@@ -24,15 +24,15 @@
 
 namespace persimmonstile {
 
-// Decides for an agent which orders go to its backend server and what the owners hear of it. The agent is the
-// only caller of the backend server, so it alone guards the capacity, and with the fencing token it turns a
-// start without an answer into a certain "not started". Deterministic and without I/O.
+// Decides which orders an agent sends to its backend server and what it reports to the owners of runs. The
+// agent is the only client of the backend server, so it alone enforces the capacity. By raising the fencing
+// token it can establish that an unanswered start order was not executed. Deterministic and without I/O.
 class agent_core {
 public:
     agent_core(incarnation self, std::string zone, const agent_limits& limits, time_point now);
 
     void announced(const backend_announcement& announcement, time_point now);
-    // The backend server says that it ends.
+    // The backend server announced that it shuts down.
     void left(const std::string& backend_id, time_point now);
     void replied(const backend_reply& reply, time_point now);
 
@@ -40,21 +40,21 @@
     void link_closed(link_number link, time_point now);
     void received(link_number link, const work_message& message, time_point now);
 
-    // Refuses new runs; those that run may end.
+    // Refuses new and queued runs. Running ones may finish.
     void begin_shutdown(time_point now);
-    // Nothing runs, and the owners know of every end.
+    // True after begin_shutdown when no run is active and no end is waiting to be recorded.
     bool is_drained() const;
 
     void tick(time_point now);
-    // When tick has to be called at the latest.
+    // Latest time at which tick must be called.
     time_point next_wakeup(time_point now) const;
 
-    // What follows from the events since the last call.
+    // Returns the output of all events since the last call.
     agent_output take_output(time_point now);
 
-    // Peer addresses of all entries that the connected ones name.
+    // Peer addresses of all entries, as reported by the connected ones.
     std::set<std::string> entry_addresses() const;
-    // entry_addresses may differ from what they were at the last call.
+    // Returns true if entry_addresses may have changed since the last call.
     bool take_address_change() { return std::exchange(has_new_addresses_, false); }
     const std::string& backend_id() const { return backend_.id; }
     std::uint64_t backend_life() const { return backend_.life; }
@@ -65,18 +65,18 @@
 
 private:
     struct link_state {
-        // Names are empty until the entry introduced itself.
+        // The names are empty until the entry has sent its entry_welcome.
         incarnation process;
         incarnation session;
         std::vector<std::string> entry_addresses;
         std::uint64_t starts_seen = 0;
-        // The room as this entry was told, and when.
+        // The free capacity last reported to this entry, and when it was sent.
         agent_room told;
         time_point told_at{};
         std::vector<run_report> reports;
-        // One of the reports must not wait for the next message about the room.
+        // At least one report must not wait for the next message about free capacity.
         bool has_urgent_report = false;
-        // The newest clock reading that the entry has echoed, and when one was sent last.
+        // The latest clock reading that the entry has echoed, and when the last ping was sent.
         time_point echoed{};
         time_point asked{};
     };
@@ -84,7 +84,7 @@
     struct owner_state {
         // 0 while the owner is not connected.
         link_number link = 0;
-        // When the owner was there for certain.
+        // Latest time at which the owner is known to have been present.
         time_point heard{};
     };
 
@@ -171,27 +171,28 @@
     time_point started_;
     agent_output output_;
 
-    // The backend server. Empty id while none is known.
+    // The backend server. The id is empty while none is known.
     backend_profile backend_;
-    // It has told its capacity in this life.
+    // The backend server has announced its capacity in this life.
     bool is_profiled_ = false;
     std::uint64_t last_sequence_ = 0;
     backend_clock clock_;
     backend_health health_;
     std::uint64_t token_ = 0;
-    // All older orders are void and the lists were read, so everything that runs is known.
+    // All orders with older tokens are fenced and the lists were read, so all running runs are known.
     bool is_settled_ = false;
     bool is_silent_ = false;
-    // The owners were told; they may draw conclusions from what the agent does not list.
+    // The inventories were sent. From now on owners may conclude that a run that is not listed does not
+    // exist.
     bool are_owners_told_ = false;
     bool is_shutting_down_ = false;
     end_acknowledger ends_;
-    // When the last order was sent that this life answered.
+    // Send time of the latest order that this life answered.
     time_point last_reply_{};
-    // Highest end that the backend server was told and has confirmed.
+    // Highest end number whose acknowledgement the backend server has confirmed.
     std::uint64_t confirmed_end_ = 0;
     std::set<run_ref> given_up_;
-    // By then everything has ended whose lease was not renewed since.
+    // Time by which all leases that were requested so far have expired.
     time_point lease_bound_{};
 
     run_table runs_;
@@ -200,17 +201,17 @@
 
     std::uint64_t last_order_ = 0;
     std::map<std::uint64_t, sent_order> sent_;
-    // The waiting hold order and the one that raises the token, 0 if none is on its way.
+    // Ids of the regular hold order and of the one that raises the token; 0 if none is in flight.
     std::uint64_t hold_ = 0;
     std::uint64_t raise_ = 0;
     time_point next_hold_{};
     time_point next_raise_{};
     bool is_raise_wanted_ = false;
-    // The newest end that a list has shown.
+    // Highest end number that was listed.
     std::uint64_t last_listed_end_ = 0;
-    // Unanswered hold orders in a row.
+    // Number of consecutive hold orders without an answer.
     unsigned unanswered_holds_ = 0;
-    // Of orders that are answered at once.
+    // Round-trip time of orders that are answered without a wait.
     round_trip_estimate order_trip_;
 
     std::map<link_number, link_state> links_;
--- a/coordination/agent_links.cpp
+++ b/coordination/agent_links.cpp
@@ -16,7 +16,7 @@
     has_new_addresses_ = true;
     links_[link] = {};
     output_.messages.emplace_back(link, profile(now));
-    // Its pong comes before the first order.
+    // The pong arrives before the first start message.
     ping(link, now);
 }
 
@@ -25,7 +25,7 @@
     output_.messages.emplace_back(link, view_ping{now.time_since_epoch().count()});
 }
 
-// Busy entries echo the clock readings of other messages, so pings are for the idle ones.
+// Busy entries echo the clock readings of other messages, so only idle ones need pings.
 bool agent_core::is_ping_due(const link_state& state, time_point now) const {
     return now - std::max(state.echoed, state.asked) >= limits_.ping_interval;
 }
@@ -68,7 +68,7 @@
         state.session = welcome.session;
         owners_[welcome.session].link = link;
     }
-    // The session counts as present from its first pong on.
+    // The session counts as present once its first pong has arrived.
     ping(link, now);
     if (are_owners_told_)
         introduce_runs(link, now);
@@ -167,16 +167,17 @@
     run_inventory inventory;
     inventory.owner = message.former;
     inventory.starts_seen = links_[link].starts_seen;
-    // Those that the successor has already are told again: jobs of this former session may be among them,
-    // which another session adopted in between.
+    // Runs that the successor already owns are reported again. Among them may be runs of this former session
+    // that another session adopted in between.
     runs_.for_each([&](run_record& record) {
         if (record.owner == message.former)
             record.owner = message.successor;
         if (record.owner == message.successor)
             inventory.reports.push_back(report_of(record, now));
     });
-    // Without the lists of the backend server the successor would take what runs for not started. Found runs
-    // come first: when they were offered before, the successor may not have known their jobs yet.
+    // Before the backend server's lists are read, an inventory would make the successor treat running runs as
+    // not started. Runs without an owner are sent first: the successor may not have known their jobs when
+    // they were last offered.
     if (!are_owners_told_)
         return;
     send_inventory(link, {}, now);
@@ -191,7 +192,7 @@
         if (record == nullptr || !record->owner.name.empty())
             continue;
         const run_state state = record->state;
-        // The needs count with the state, so they are changed while the run holds no room.
+        // run_table accounts for the needs by state, so they are changed while the run holds no capacity.
         runs_.set_state(*record, run_state::refused);
         record->needs = claimed.needs;
         record->owner = message.owner;
@@ -235,7 +236,7 @@
     add_report(links_[owner->second.link], report_of(record, now));
 }
 
-// That a run has begun is told with the next message, and not at all if it has ended by then.
+// The start of a run is reported with the next message, or not at all if the run has ended by then.
 void agent_core::add_report(link_state& state, run_report report) {
     if (is_final(report.state)) {
         state.has_urgent_report = true;
@@ -266,12 +267,12 @@
     });
     if (owner.name.empty() && inventory.reports.empty())
         return;
-    // The list does not contain runs whose end was only reported, so the reports go first.
+    // The inventory omits runs that ended and were already erased, so their pending reports are sent first.
     send_reports(link, links_[link], now);
     output_.messages.emplace_back(link, std::move(inventory));
 }
 
-// What entries may use. Until a run has succeeded after a pause, that is little.
+// Capacity that entries may use. It is reduced after a pause until a run succeeds.
 resources agent_core::free_room(time_point now) const {
     resources free = backend_.capacity - runs_.held();
     if (health_.is_on_probation(now)) {
--- a/coordination/agent_orders.cpp
+++ b/coordination/agent_orders.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-// How far a token is raised above the one that a backend server refused. An earlier process of this agent
-// raised its own by one at a time, so this is beyond all of them.
+// Step by which the token is raised after the backend server refused it. An earlier process of this agent
+// raised its token by one at a time, so this step exceeds all tokens that it used.
 constexpr std::uint64_t token_step = 1000;
 
-// A backend server lists at most this many ends at once; a longer list is continued after an acknowledgement.
+// Maximum number of ends in one list of a backend server. Further ends are listed after an acknowledgement.
 constexpr std::size_t longest_end_list = 500;
 
 } // namespace
@@ -49,7 +49,7 @@
     return zones_out_.contains(zone);
 }
 
-// How much room a run takes that a restarted agent found is only known to its owner.
+// Only the owner knows how much capacity a run needs that a restarted agent found on the backend server.
 bool agent_core::has_unclaimed_runs() {
     bool found = false;
     runs_.for_each([&](run_record& record) {
@@ -91,13 +91,14 @@
     send(stop_order{record.run}, order_trip_.timeout(), now);
 }
 
-// Lost answers are no reason to let the lease run out; a silent backend server must run out of it.
+// A few lost answers must not let the lease expire, but the lease of an unresponsive backend server must
+// expire.
 bool agent_core::renews_lease(time_point now) const {
     return unanswered_holds_ <= 1 || now - last_reply_ < limits_.silence_limit;
 }
 
 bool agent_core::needs_hold() const {
-    // A silent backend server is asked until it answers, or it would never get work again.
+    // An unresponsive backend server is polled until it answers. Otherwise it would never get work again.
     return is_silent_ || runs_.active_count() > 0 || ends_.acknowledged() > confirmed_end_;
 }
 
@@ -118,7 +119,7 @@
     hold_ = send(hold, timeout, now);
 }
 
-// Makes all earlier orders void. The answer tells which of them were carried out.
+// Fences all earlier orders. The answer shows which of them were executed.
 void agent_core::raise_token(time_point now) {
     is_raise_wanted_ = false;
     token_ = std::max(token_ + 1, static_cast<std::uint64_t>(std::max<std::int64_t>(0, clock_.at(now))));
@@ -142,19 +143,19 @@
     if (is_raise)
         raise_ = 0;
     if (reply.verdict == backend_verdict::other_instance) {
-        note("another backend server answered", {}, {{"backend", backend_.id}}, true);
+        note("answer came from another backend server", {}, {{"backend", backend_.id}}, true);
         lose_backend(run_refusal::no_backend, false, now);
         backend_ = {};
         is_profiled_ = false;
         return;
     }
     if (reply.life != 0 && reply.life != backend_.life) {
-        note("another life of the backend server answered", {},
+        note("answer came from another life of the backend server", {},
              {{"backend", backend_.id}, {"life", static_cast<std::int64_t>(reply.life)}}, true);
         begin_life(std::string{backend_.id}, reply.life, now);
         return;
     }
-    // A process that was stopped reads old answers late, so the time of the order counts.
+    // A process that was suspended reads old answers late, so the send time of the order is used.
     if (reply.life != 0)
         last_reply_ = std::max(last_reply_, sent.sent);
     const auto* hold = std::get_if<hold_order>(&sent.order.action);
@@ -189,7 +190,7 @@
             order_stop(*record, now);
         return;
     case backend_verdict::fenced:
-        // The token was raised while the order was on its way, or by an earlier process of this agent.
+        // The token was raised while the order was in flight, or by an earlier process of this agent.
         if (sent.order.fencing_token == token_) {
             token_ += token_step;
             is_raise_wanted_ = true;
@@ -230,7 +231,7 @@
     run_record* record = runs_.find(std::get<stop_order>(sent.order.action).run);
     if (record == nullptr || is_final(record->state) || reply.verdict == backend_verdict::accepted)
         return;
-    // Sent again with the next tick; the run keeps its room until its end is listed.
+    // The next tick sends the order again. The run holds its capacity until its end is listed.
     record->stop_ordered = false;
     if (reply.verdict == backend_verdict::fenced && sent.order.fencing_token == token_) {
         token_ += token_step;
@@ -251,7 +252,7 @@
         confirmed_end_ = std::max(confirmed_end_, std::get<hold_order>(sent.order.action).acknowledged_end);
         if (is_silent_) {
             is_silent_ = false;
-            note("backend server answers again", {}, {{"backend", backend_.id}});
+            note("backend server responds again", {}, {{"backend", backend_.id}});
         }
         take_lists(sent, reply, now);
         return;
@@ -278,7 +279,7 @@
     }
     if (!renews_lease(now) && !is_silent_) {
         is_silent_ = true;
-        note("backend server does not answer", {}, {{"backend", backend_.id}}, true);
+        note("backend server does not respond", {}, {{"backend", backend_.id}}, true);
         refuse_queued(run_refusal::no_backend, now);
     }
 }
@@ -304,7 +305,8 @@
     ends_.listed(end.number);
     if (ends_.is_recorded(end.number))
         return;
-    // Its lease had run out before the agent gave it up, so nothing follows from this end any more.
+    // The agent has already reported this run as ended because its lease had expired, so the end has no
+    // effect.
     if (given_up_.contains(end.run)) {
         ends_.recorded(end.number);
         return;
@@ -328,7 +330,7 @@
 void agent_core::take_running(const listed_run& listed, std::int64_t clock_ms, time_point now) {
     run_record* record = runs_.find(listed.run);
     if (record == nullptr) {
-        note("found a run at the backend server", listed.run.task.job,
+        note("found an unknown run on the backend server", listed.run.task.job,
              {{"run", static_cast<std::int64_t>(listed.run.run)}});
         run_record found;
         found.run = listed.run;
@@ -337,7 +339,7 @@
         found.progressed_ms = clock_ms;
         found.percent = listed.percent;
         found.checkpoint = listed.checkpoint;
-        // Whatever was given up has no owner that could claim it.
+        // A run that was given up has no owner that could claim it.
         found.stop_wanted = given_up_.contains(listed.run);
         record = &runs_.add(std::move(found));
         return;
@@ -367,13 +369,14 @@
     }
 }
 
-// Judged by the clock of the backend server, because lists may come late.
+// Uses the clock of the backend server, because lists may arrive late.
 bool agent_core::is_stalled(const run_record& record, const listed_run& listed, std::int64_t clock_ms) const {
     return record.state == run_state::running && !record.stop_wanted && listed.percent <= record.percent &&
            clock_ms - record.progressed_ms >= limits_.stall_limit(record.expected).count();
 }
 
-// An unanswered start with a lower token that the lists do not show was not carried out and never will be.
+// An unanswered start order with a lower token whose run is in neither list was not executed and never will
+// be.
 void agent_core::resolve_doubts(const sent_order& hold, const std::set<run_ref>& listed, time_point now) {
     std::vector<run_ref> resolved;
     runs_.for_each([&](run_record& record) {
@@ -383,7 +386,7 @@
     });
     for (const run_ref& run : resolved) {
         run_record& record = *runs_.find(run);
-        note("start order is proved void", run.task.job,
+        note("start order was fenced before execution", run.task.job,
              {{"step", run.task.step},
               {"task", run.task.index},
               {"run", static_cast<std::int64_t>(run.run)},
@@ -397,8 +400,8 @@
     }
 }
 
-// A run that was confirmed before the lists were asked for and is in neither of them has ended with the
-// memory of the backend server.
+// Ends runs that were confirmed before the lists were requested and are in neither list. The backend server
+// has lost its record of them.
 void agent_core::find_vanished(const sent_order& hold, const std::set<run_ref>& listed, time_point now) {
     std::vector<run_ref> vanished;
     runs_.for_each([&](run_record& record) {
@@ -406,17 +409,17 @@
             vanished.push_back(record.run);
     });
     for (const run_ref& run : vanished) {
-        note("run is in no list of the backend server", run.task.job,
+        note("run is missing from the lists of the backend server", run.task.job,
              {{"run", static_cast<std::int64_t>(run.run)}}, true);
         end_run(*runs_.find(run), run_state::lapsed, run_refusal::no_backend, now);
     }
 }
 
-// From here on the agent knows everything that runs, so the owners may rely on its lists.
+// From now on the agent knows all running runs, so the owners may rely on its inventories.
 void agent_core::settle(time_point now) {
     is_settled_ = true;
     next_hold_ = now;
-    note("backend server is settled", {},
+    note("state of the backend server is synchronized", {},
          {{"backend", backend_.id},
           {"token", static_cast<std::int64_t>(token_)},
           {"runs", static_cast<std::int64_t>(runs_.size())}});
@@ -430,12 +433,12 @@
         introduce_runs(link, now);
 }
 
-// Everything that the owner behind the link may draw conclusions from.
+// Sends all inventories that concern the entry at the other end of the link.
 void agent_core::introduce_runs(link_number link, time_point now) {
     const link_state& state = links_[link];
     if (state.process.name.empty())
         return;
-    // Runs without a known owner come first, or their owner would take them for lost.
+    // Runs without a known owner are sent first. Otherwise their owner would treat them as lost.
     send_inventory(link, {}, now);
     send_inventory(link, state.process, now);
     if (!state.session.name.empty())
--- a/coordination/agent_runs.cpp
+++ b/coordination/agent_runs.cpp
@@ -13,7 +13,8 @@
     output_.ends.push_back(state);
     judge(record, now);
     report(record, now);
-    // A listed end has to be kept until it is recorded, if anybody records it.
+    // A listed end is kept until its owner has recorded it. Ends of claimed runs that are not kept are not
+    // recorded.
     const bool is_claimed = !record.owner.name.empty();
     if (record.end_number != 0 && (record.is_kept || !is_claimed))
         return;
@@ -22,8 +23,8 @@
     runs_.erase(run_ref{record.run});
 }
 
-// A run that was tried before may fail by its own fault, so only the first one counts against the backend
-// server.
+// A task that has failed before may itself be faulty, so only the failure of its first run counts against the
+// backend server.
 void agent_core::judge(const run_record& record, time_point now) {
     if (record.state == run_state::done) {
         health_.succeeded();
@@ -74,8 +75,8 @@
                      (is_kept ? owner_contact_lease : caller_contact_lease(limits_.caller_resend));
 }
 
-// Runs of an owner that is away for too long are ended, because a successor that cannot reach this agent
-// counts on it.
+// Stops runs whose owner has been unreachable for too long, because a successor that cannot reach this agent
+// relies on it.
 void agent_core::check_owners(time_point now) {
     std::vector<run_ref> abandoned;
     runs_.for_each([&](run_record& record) {
@@ -92,7 +93,7 @@
             abandoned.push_back(record.run);
     });
     for (const run_ref& run : abandoned) {
-        note("ending a run whose owner is away or whose caller has left", run.task.job,
+        note("stopping a run whose owner is unreachable or whose caller has disconnected", run.task.job,
              {{"run", static_cast<std::int64_t>(run.run)}}, true);
         want_stop(*runs_.find(run), run_refusal::owner_silent, now);
     }
@@ -110,7 +111,7 @@
                 lapsed.push_back(record.run);
         });
         for (const run_ref& run : lapsed) {
-            note("lease ran out at a silent backend server", run.task.job,
+            note("lease expired on an unresponsive backend server", run.task.job,
                  {{"run", static_cast<std::int64_t>(run.run)}}, true);
             given_up_.insert(run);
             end_run(*runs_.find(run), run_state::lapsed, run_refusal::no_backend, now);
