--- a/coordination/grant_set.h
+++ b/coordination/grant_set.h
@@ -9,7 +9,8 @@
 
 namespace persimmonstile {
 
-// Smallest size at which any two groups of members share one. An empty set has no majority.
+// Smallest size at which any two subsets of a set with this size share a member. An empty set has no
+// majority.
 constexpr std::size_t majority_of(std::size_t size) {
     return size / 2 + 1;
 }
--- a/coordination/ownership_actions.h
+++ b/coordination/ownership_actions.h
@@ -16,14 +16,14 @@
     control_message message;
 };
 
-// Write this table if the store's value still has modification revision expected_mod (0: the key must not
-// exist).
+// A conditional table write: it applies only if the stored value still has modification revision expected_mod
+// (0: the key must not exist).
 struct table_write {
     owner_table table;
     std::int64_t expected_mod = 0;
 };
 
-// What the entry has to do after an event, in this order.
+// Actions that the entry performs after an event, in the order of the members.
 struct ownership_actions {
     std::vector<control_send> sends;
     std::vector<partition_gain> gained;
