--- a/coordination/agent_core.cpp
+++ b/coordination/agent_core.cpp
@@ -27,8 +27,7 @@
     if (is_same_life && announcement.sequence <= last_sequence_)
         return;
     if (!is_same_life && !backend_.id.empty() && profile.life < backend_.life) {
-        note("ignored a stale announcement from an earlier life of the backend server", {},
-             {{"backend", profile.id}});
+        note("ignored a delayed announcement of an earlier life", {}, {{"backend", profile.id}});
         return;
     }
     if (!is_same_life)
@@ -76,7 +75,7 @@
 void agent_core::left(const std::string& backend_id, time_point now) {
     if (backend_id != backend_.id)
         return;
-    note("backend server announced its shutdown", {}, {{"backend", backend_id}});
+    note("backend server left", {}, {{"backend", backend_id}});
     lose_backend(run_refusal::no_backend, false, now);
     backend_ = {};
     is_profiled_ = false;
--- a/coordination/agent_orders.cpp
+++ b/coordination/agent_orders.cpp
@@ -143,14 +143,14 @@
     if (is_raise)
         raise_ = 0;
     if (reply.verdict == backend_verdict::other_instance) {
-        note("answer came from another backend server", {}, {{"backend", backend_.id}}, true);
+        note("another backend server answered", {}, {{"backend", backend_.id}}, true);
         lose_backend(run_refusal::no_backend, false, now);
         backend_ = {};
         is_profiled_ = false;
         return;
     }
     if (reply.life != 0 && reply.life != backend_.life) {
-        note("answer came from another life of the backend server", {},
+        note("another life of the backend server answered", {},
              {{"backend", backend_.id}, {"life", static_cast<std::int64_t>(reply.life)}}, true);
         begin_life(std::string{backend_.id}, reply.life, now);
         return;
@@ -252,7 +252,7 @@
         confirmed_end_ = std::max(confirmed_end_, std::get<hold_order>(sent.order.action).acknowledged_end);
         if (is_silent_) {
             is_silent_ = false;
-            note("backend server responds again", {}, {{"backend", backend_.id}});
+            note("backend server answers again", {}, {{"backend", backend_.id}});
         }
         take_lists(sent, reply, now);
         return;
@@ -279,7 +279,7 @@
     }
     if (!renews_lease(now) && !is_silent_) {
         is_silent_ = true;
-        note("backend server does not respond", {}, {{"backend", backend_.id}}, true);
+        note("backend server does not answer", {}, {{"backend", backend_.id}}, true);
         refuse_queued(run_refusal::no_backend, now);
     }
 }
@@ -330,7 +330,7 @@
 void agent_core::take_running(const listed_run& listed, std::int64_t clock_ms, time_point now) {
     run_record* record = runs_.find(listed.run);
     if (record == nullptr) {
-        note("found an unknown run on the backend server", listed.run.task.job,
+        note("found a run at the backend server", listed.run.task.job,
              {{"run", static_cast<std::int64_t>(listed.run.run)}});
         run_record found;
         found.run = listed.run;
@@ -386,7 +386,7 @@
     });
     for (const run_ref& run : resolved) {
         run_record& record = *runs_.find(run);
-        note("start order was fenced before execution", run.task.job,
+        note("start order is proved void", run.task.job,
              {{"step", run.task.step},
               {"task", run.task.index},
               {"run", static_cast<std::int64_t>(run.run)},
@@ -409,7 +409,7 @@
             vanished.push_back(record.run);
     });
     for (const run_ref& run : vanished) {
-        note("run is missing from the lists of the backend server", run.task.job,
+        note("run is in no list of the backend server", run.task.job,
              {{"run", static_cast<std::int64_t>(run.run)}}, true);
         end_run(*runs_.find(run), run_state::lapsed, run_refusal::no_backend, now);
     }
@@ -419,7 +419,7 @@
 void agent_core::settle(time_point now) {
     is_settled_ = true;
     next_hold_ = now;
-    note("state of the backend server is synchronized", {},
+    note("backend server is settled", {},
          {{"backend", backend_.id},
           {"token", static_cast<std::int64_t>(token_)},
           {"runs", static_cast<std::int64_t>(runs_.size())}});
--- a/coordination/agent_runs.cpp
+++ b/coordination/agent_runs.cpp
@@ -93,7 +93,7 @@
             abandoned.push_back(record.run);
     });
     for (const run_ref& run : abandoned) {
-        note("stopping a run whose owner is unreachable or whose caller has disconnected", run.task.job,
+        note("ending a run whose owner is away or whose caller has left", run.task.job,
              {{"run", static_cast<std::int64_t>(run.run)}}, true);
         want_stop(*runs_.find(run), run_refusal::owner_silent, now);
     }
@@ -111,7 +111,7 @@
                 lapsed.push_back(record.run);
         });
         for (const run_ref& run : lapsed) {
-            note("lease expired on an unresponsive backend server", run.task.job,
+            note("lease ran out at a silent backend server", run.task.job,
                  {{"run", static_cast<std::int64_t>(run.run)}}, true);
             given_up_.insert(run);
             end_run(*runs_.find(run), run_state::lapsed, run_refusal::no_backend, now);
