--- a/coordination/commit_queue.cpp
+++ b/coordination/commit_queue.cpp
@@ -10,30 +10,30 @@
 namespace {
 
 // Maximum number of conditions, values and removals that the store accepts in one write.
-constexpr std::size_t most_entries = 32;
+constexpr std::size_t max_write_entries = 32;
 
 // Maximum size of the records in one write; far below the store's value limit, and short to parse.
-constexpr std::size_t most_batch_bytes = std::size_t{256} * 1024;
+constexpr std::size_t max_batch_bytes = std::size_t{256} * 1024;
 
 // Maximum number of writes in flight. One is enough for a store that answers within milliseconds; more
 // maintain the throughput when it is slow.
-constexpr std::size_t most_parallel_writes = 4;
+constexpr std::size_t max_writes_in_flight = 4;
 
 // While a write is in flight, the next one is sent after this time even if it is not full.
-constexpr milliseconds longest_collection{25};
+constexpr milliseconds max_batch_delay{25};
 
 // The store answers within 4 ms plus the network round trip. The initial timeout also allows for a slow start
 // of the process.
-constexpr milliseconds first_timeout{150};
-constexpr milliseconds shortest_timeout{50};
-constexpr milliseconds longest_timeout{1000};
+constexpr milliseconds initial_timeout{150};
+constexpr milliseconds min_timeout{50};
+constexpr milliseconds max_timeout{1000};
 
 // Retry delay after a failure that says that the write was not applied.
 constexpr milliseconds refusal_pause{40};
 
 // An acceptance that has certainly not been applied within this time is abandoned, so that its caller gets a
 // reply.
-constexpr milliseconds acceptance_patience{250};
+constexpr milliseconds acceptance_timeout{250};
 
 bool is_accept(const commit& what) {
     return std::holds_alternative<commit_accept>(what.change);
@@ -61,7 +61,7 @@
 } // namespace
 
 commit_queue::commit_queue()
-    : round_trip_{first_timeout, shortest_timeout, longest_timeout} {}
+    : round_trip_{initial_timeout, min_timeout, max_timeout} {}
 
 void commit_queue::set_session(const incarnation& session, std::uint64_t entry_revision) {
     clear_session();
@@ -112,7 +112,7 @@
     while (!queue_.empty()) {
         const std::size_t more = entries_of(queue_.front());
         const std::size_t size = bytes_of(queue_.front());
-        if (entries + more > most_entries || (entries > 1 && bytes + size > most_batch_bytes))
+        if (entries + more > max_write_entries || (entries > 1 && bytes + size > max_batch_bytes))
             break;
         entries += more;
         bytes += size;
@@ -136,8 +136,8 @@
         if (waiting.send_at && *waiting.send_at <= now)
             send(id, waiting);
     }
-    while (!queue_.empty() && batches_.size() < most_parallel_writes) {
-        if (!batches_.empty() && now - last_sent_ < longest_collection)
+    while (!queue_.empty() && batches_.size() < max_writes_in_flight) {
+        if (!batches_.empty() && now - last_sent_ < max_batch_delay)
             break;
         batch& next = batches_[++last_id_];
         next.created = now;
@@ -157,8 +157,8 @@
         if (waiting.send_at)
             consider(*waiting.send_at);
     }
-    if (!queue_.empty() && !batches_.empty() && batches_.size() < most_parallel_writes)
-        consider(last_sent_ + longest_collection);
+    if (!queue_.empty() && !batches_.empty() && batches_.size() < max_writes_in_flight)
+        consider(last_sent_ + max_batch_delay);
     return next;
 }
 
@@ -244,13 +244,13 @@
     if (!failing_since_)
         failing_since_ = now;
     if (failure.may_have_applied) {
-        failed.is_in_doubt = true;
+        failed.is_outcome_unknown = true;
         round_trip_.missing();
         failed.send_at = now;
         return;
     }
     failed.send_at = now + refusal_pause;
-    if (!failed.is_in_doubt && now - failed.created >= acceptance_patience)
+    if (!failed.is_outcome_unknown && now - failed.created >= acceptance_timeout)
         give_up(failed);
 }
 
--- a/coordination/commit_queue.h
+++ b/coordination/commit_queue.h
@@ -56,7 +56,7 @@
         // Time of the next attempt; empty while the write is in flight.
         std::optional<time_point> send_at;
         // An attempt got no answer and may still take effect.
-        bool is_in_doubt = false;
+        bool is_outcome_unknown = false;
         unsigned attempts = 0;
     };
 
--- a/coordination/entry_agents.cpp
+++ b/coordination/entry_agents.cpp
@@ -26,8 +26,8 @@
     return addresses;
 }
 
-void entry_core::welcome_all() {
-    told_addresses_ = entry_addresses();
+void entry_core::send_welcome_to_all() {
+    sent_addresses_ = entry_addresses();
     for (const auto& [number, agent] : agents_.all())
         welcome(agent);
 }
@@ -64,18 +64,18 @@
     agent_view* agent = agents_.by_link(link);
     if (agent == nullptr)
         return;
-    note_reading(*agent, ping.sent_ns, now);
-    output_.messages.emplace_back(link, owner_pong{ping.sent_ns, is_owner_certain(now)});
+    record_contact(*agent, ping.sent_ns, now);
+    output_.messages.emplace_back(link, owner_pong{ping.sent_ns, is_ownership_certain(now)});
 }
 
-void entry_core::note_reading(agent_view& agent, std::int64_t reading_ns, time_point now) {
+void entry_core::record_contact(agent_view& agent, std::int64_t reading_ns, time_point now) {
     agent.heard = now;
     agent.last_reading_ns = std::max(agent.last_reading_ns, reading_ns);
 }
 
 // An entry that may have been deposed without knowing it must not renew the leases of runs.
-bool entry_core::is_owner_certain(time_point now) const {
-    return session().number != 0 && now - keeper_.last_contact() < limits_.store_silence_limit;
+bool entry_core::is_ownership_certain(time_point now) const {
+    return session().number != 0 && now - keeper_.last_contact() < limits_.store_contact_timeout;
 }
 
 void entry_core::take_room(agent_view& agent, const agent_room& room) {
@@ -89,7 +89,7 @@
     agent_view* agent = agents_.by_link(link);
     if (agent == nullptr)
         return;
-    note_reading(*agent, message.sent_ns, now);
+    record_contact(*agent, message.sent_ns, now);
     for (const run_report& report : message.reports)
         take_report(*agent, report, now);
     take_room(*agent, message.room);
@@ -110,7 +110,7 @@
     }
     if (message.owner != session() && message.owner != process_) {
         confirm(agent->name, message.owner);
-        is_upkeep_needed_ = true;
+        is_session_update_needed_ = true;
         return;
     }
     // A run that the agent does not know has not started there and never will.
@@ -120,7 +120,7 @@
         const ledger_job* job = ledger_.find(run.task.job);
         if (start <= message.starts_seen && !listed.contains(run) &&
             (job == nullptr || job->is_kept() == is_kept))
-            lose_run(*agent, run, now);
+            mark_run_lost(*agent, run, now);
     }
     (is_kept ? agent->is_session_introduced : agent->is_introduced) = true;
     is_plan_needed_ = true;
@@ -175,7 +175,7 @@
 }
 
 // Marks a run as lost: it has ended without a result, or never started.
-void entry_core::lose_run(agent_view& agent, const run_ref& run, time_point now) {
+void entry_core::mark_run_lost(agent_view& agent, const run_ref& run, time_point now) {
     run_report report;
     report.run = run;
     report.state = run_state::lapsed;
@@ -209,10 +209,10 @@
         return;
     case report_effect::started:
         measure(entry_timing::start, now - copy.placed);
-        note_begin(*job);
+        mark_begun(*job);
         return;
     case report_effect::done:
-        note_begin(*job);
+        mark_begun(*job);
         task_done(*job, report.run.task, now);
         return;
     case report_effect::failed: {
@@ -260,7 +260,7 @@
     }
 }
 
-void entry_core::note_begin(ledger_job& job) {
+void entry_core::mark_begun(ledger_job& job) {
     job.has_begun = true;
     if (job.state == job_state::queued)
         job.state = job_state::running;
@@ -282,13 +282,13 @@
 }
 
 void entry_core::acknowledge_all(ledger_job& job) {
-    for (const unrecorded_end& end : job.unrecorded)
+    for (const unacknowledged_end& end : job.unrecorded)
         acknowledge(end.agent, end.backend_life, end.number);
     job.unrecorded.clear();
 }
 
 // Expires the runs of agents that have been disconnected for so long that all their leases have expired.
-void entry_core::give_up_unreachable(time_point now) {
+void entry_core::expire_unreachable_runs(time_point now) {
     const milliseconds lease = limits_.run_lease_bound();
     for (auto& [number, agent] : agents_.all()) {
         if (agent.link != 0 || agent.runs.empty())
@@ -302,7 +302,7 @@
                 is_kept ? owner_contact_lease : caller_contact_lease(limits_.caller_resend);
             if (now < agent.heard + contact + lease)
                 continue;
-            lose_run(agent, run, now);
+            mark_run_lost(agent, run, now);
             has_lost = true;
         }
         if (!has_lost)
--- a/coordination/entry_callers.cpp
+++ b/coordination/entry_callers.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Retry delay for refused callers if no better estimate is available.
-constexpr milliseconds usual_retry{1000};
+constexpr milliseconds default_retry_delay{1000};
 
 // A reply is sent this long before the caller's timeout.
 constexpr milliseconds reply_margin{40};
@@ -29,7 +29,7 @@
 }
 
 bool entry_core::is_store_failing(time_point now) const {
-    return commits_.failing_since() && now - *commits_.failing_since() >= limits_.store_failure_patience;
+    return commits_.failing_since() && now - *commits_.failing_since() >= limits_.store_failure_timeout;
 }
 
 void entry_core::refuse(const job_submission& request, submit_refusal reason, milliseconds retry_after) {
@@ -65,7 +65,7 @@
     }
     const queue_policy* queue = config_ ? find_queue_named(*config_, request.queue) : nullptr;
     if (queue == nullptr) {
-        refuse(request, submit_refusal::no_configuration, usual_retry);
+        refuse(request, submit_refusal::no_configuration, default_retry_delay);
         return;
     }
     if (!request.plan.is_kept) {
@@ -73,11 +73,11 @@
         return;
     }
     if (!commits_.has_session()) {
-        refuse(request, submit_refusal::no_session, usual_retry);
+        refuse(request, submit_refusal::no_session, default_retry_delay);
         return;
     }
     if (is_store_failing(now)) {
-        refuse(request, submit_refusal::store_unavailable, usual_retry);
+        refuse(request, submit_refusal::store_unavailable, default_retry_delay);
         return;
     }
     auto record = make_record(request, *queue, calendar_ms(wall));
@@ -112,7 +112,7 @@
 // Failed and late jobs have separate messages, so that the limit on equal log lines does not suppress them
 // together with those of other jobs.
 void entry_core::note_end(const ledger_job& job, time_point now) {
-    auto inputs = course_of(job, now);
+    auto inputs = summarize_job(job, now);
     inputs.emplace_back("state", std::string{to_string(job.state)});
     if (job.is_kept())
         inputs.emplace_back("record_us", std::chrono::duration_cast<microseconds>(now - job.ended).count());
@@ -131,7 +131,7 @@
     ledger_job* job = ledger_.find(id);
     if (job == nullptr || job->is_kept())
         return;
-    note("dropped a job whose callers have left", id, course_of(*job, now), true);
+    note("dropped a job whose callers have left", id, summarize_job(*job, now), true);
     stop_runs_of(*job);
     acknowledge_all(*job);
     ledger_.erase(id);
@@ -145,13 +145,13 @@
     if (job.is_kept() || job.first_placed)
         return;
     const job_id id = job.id;
-    auto inputs = course_of(job, now);
+    auto inputs = summarize_job(job, now);
     inputs.emplace_back("reason", std::string{reason});
     note("refused a job that found no room", id, std::move(inputs), true);
     ledger_.erase(id);
     for (const waiting_caller& caller : ending_.take(id))
         output_.replies.push_back({caller.token, caller_reply_kind::refused, job_state::unknown,
-                                   submit_refusal::overloaded, usual_retry});
+                                   submit_refusal::overloaded, default_retry_delay});
 }
 
 void entry_core::drop_expired(time_point now) {
@@ -204,7 +204,7 @@
     }
     if (known->phase == job_phase::ending) {
         // The end is being written; waiting a few milliseconds gives the caller the final state.
-        ending_.add(job, {token, std::min(now + limits_.ending_wait, answer_by - reply_margin), false});
+        ending_.add(job, {token, std::min(now + limits_.end_commit_wait, answer_by - reply_margin), false});
         return;
     }
     reply(token, caller_reply_kind::state, known->state);
@@ -249,7 +249,7 @@
 }
 
 // Answers expired callers with the state known so far.
-void entry_core::answer_late(time_point now) {
+void entry_core::answer_expired(time_point now) {
     for (const auto& [id, caller] : accepting_.take_expired(now))
         reply(caller.token, caller_reply_kind::uncertain);
     for (const auto& [id, caller] : ending_.take_expired(now)) {
@@ -287,24 +287,24 @@
 }
 
 void entry_core::send_counts(time_point now) {
-    const bool is_config_new = operator_records_.change_revision() != told_config_revision_;
+    const bool is_config_new = operator_records_.change_revision() != sent_config_revision_;
     if (now - last_count_ < limits_.count_interval && !is_config_new)
         return;
     last_count_ = now;
     std::map<std::string, std::uint64_t> counts = own_counts();
-    if (counts == told_counts_ && !is_config_new)
+    if (counts == sent_counts_ && !is_config_new)
         return;
-    told_counts_ = std::move(counts);
-    told_config_revision_ = operator_records_.change_revision();
+    sent_counts_ = std::move(counts);
+    sent_config_revision_ = operator_records_.change_revision();
     for (const auto& [link, peer] : peers_)
         output_.messages.emplace_back(link, counts_message());
 }
 
 queue_counts entry_core::counts_message() const {
     queue_counts message;
-    for (const auto& [queue, pending_jobs] : told_counts_)
+    for (const auto& [queue, pending_jobs] : sent_counts_)
         message.counts.push_back({queue, pending_jobs});
-    message.config_revision = told_config_revision_;
+    message.config_revision = sent_config_revision_;
     return message;
 }
 
--- a/coordination/entry_core.cpp
+++ b/coordination/entry_core.cpp
@@ -46,19 +46,19 @@
           {"zones_out", static_cast<std::int64_t>(config->zones_out.size())}});
     config_ = std::move(config);
     if (zones_changed)
-        welcome_all();
+        send_welcome_to_all();
     send_counts(now);
     is_plan_needed_ = true;
 }
 
 void entry_core::link_opened(link_number link, bool is_dialed, time_point) {
-    is_upkeep_needed_ = true;
+    is_session_update_needed_ = true;
     if (is_dialed)
         output_.messages.emplace_back(link, peer_introduction{name_, session()});
 }
 
 void entry_core::link_closed(link_number link) {
-    is_upkeep_needed_ = true;
+    is_session_update_needed_ = true;
     peers_.erase(link);
     if (agent_view* agent = agents_.by_link(link)) {
         note("lost the connection to an agent", {},
@@ -85,7 +85,7 @@
 }
 
 void entry_core::receive(link_number link, const peer_introduction& message, time_point) {
-    is_upkeep_needed_ = true;
+    is_session_update_needed_ = true;
     const bool is_new = !peers_.contains(link);
     peer_state& peer = peers_[link];
     peer.name = message.name;
@@ -134,7 +134,7 @@
     };
     for (commit_queue::write& write : commits_.take_writes(now))
         send(store_user::commits, write.id, std::move(write.call), write.timeout);
-    if (is_upkeep_needed_) {
+    if (is_session_update_needed_) {
         for (session_keeper::call& call : keeper_.take_calls(now))
             send(store_user::keeper, call.id, std::move(call.what), call.timeout);
     }
@@ -148,7 +148,7 @@
 
 void entry_core::store_replied(std::uint64_t id, const store_reply& answer, time_point now, wall_time wall) {
     wall_ = wall;
-    is_upkeep_needed_ = true;
+    is_session_update_needed_ = true;
     const auto found = store_ids_.find(id);
     if (found == store_ids_.end())
         return;
@@ -185,14 +185,14 @@
 
 void entry_core::tick(time_point now, wall_time wall) {
     wall_ = wall;
-    is_upkeep_needed_ = true;
-    give_up_unreachable(now);
+    is_session_update_needed_ = true;
+    expire_unreachable_runs(now);
     write_progress(now);
     begin_due_occurrences(now);
     drop_expired(now);
-    forget_old(now);
+    forget_expired(now);
     locator_.tick(now);
-    answer_late(now);
+    answer_expired(now);
     send_counts(now);
     std::vector<member_agent> missing;
     for (const auto& [number, agent] : agents_.all()) {
@@ -224,8 +224,8 @@
 }
 
 entry_output entry_core::take_output(time_point now) {
-    if (is_upkeep_needed_)
-        keep_sessions(now);
+    if (is_session_update_needed_)
+        update_sessions(now);
     for (const job_locator::own_job& asked : locator_.take_own())
         answer_own(asked, now);
     for (auto& [owner, question] : locator_.take_questions()) {
@@ -246,7 +246,7 @@
     acknowledgements_.clear();
     collect_store_calls(now);
     // The calls collected above may have begun a session.
-    is_upkeep_needed_ = known_session_ != session();
+    is_session_update_needed_ = known_session_ != session();
     return std::exchange(output_, {});
 }
 
--- a/coordination/entry_core.h
+++ b/coordination/entry_core.h
@@ -106,16 +106,16 @@
 
     // Agents.
     void welcome(const agent_view& agent);
-    void welcome_all();
+    void send_welcome_to_all();
     std::vector<std::string> entry_addresses() const;
-    static void note_reading(agent_view& agent, std::int64_t reading_ns, time_point now);
+    static void record_contact(agent_view& agent, std::int64_t reading_ns, time_point now);
     void take_room(agent_view& agent, const agent_room& room);
     void take_report(agent_view& agent, const run_report& report, time_point now);
-    static void note_begin(ledger_job& job);
+    static void mark_begun(ledger_job& job);
     void learn(agent_view& agent, ledger_job& job, const run_report& report, const ledger_task& task);
     void task_done(ledger_job& job, const task_ref& task, time_point now);
-    void give_up_unreachable(time_point now);
-    void lose_run(agent_view& agent, const run_ref& run, time_point now);
+    void expire_unreachable_runs(time_point now);
+    void mark_run_lost(agent_view& agent, const run_ref& run, time_point now);
     void acknowledge(agent_number agent, std::uint64_t life, std::uint64_t number);
     void acknowledge_all(ledger_job& job);
     void claim(agent_view& agent, const run_inventory& orphans, time_point now);
@@ -138,13 +138,13 @@
     void committed(const commit_result& result, time_point now);
     void accept_committed(const commit_result& result, time_point now);
     void end_committed(const commit_result& result, time_point now);
-    void forget_old(time_point now);
+    void forget_expired(time_point now);
     void answer_own(const job_locator::own_job& asked, time_point now);
     void cancel_own(ledger_job& job, caller_token token, time_point answer_by, time_point now);
     void reply(caller_token token, caller_reply_kind kind, job_state state = job_state::unknown);
     void refuse(const job_submission& request, submit_refusal reason, milliseconds retry_after);
     void answer_waiting(const job_id& job, job_state state);
-    void answer_late(time_point now);
+    void answer_expired(time_point now);
     bool is_store_failing(time_point now) const;
     static std::shared_ptr<open_job> make_record(const job_submission& request, const queue_policy& queue,
                                                  std::int64_t accepted_ms);
@@ -154,13 +154,13 @@
     void send_starts(const std::vector<planned_run>& plan, time_point now);
 
     // Sessions.
-    void keep_sessions(time_point now);
+    void update_sessions(time_point now);
     void take_adopted(time_point now);
     bool may_settle(const succession& state, time_point now) const;
     void settle_successions(time_point now);
     void confirm(const std::string& agent, const incarnation& former);
     void session_lost(time_point now);
-    bool is_owner_certain(time_point now) const;
+    bool is_ownership_certain(time_point now) const;
     void collect_store_calls(time_point now);
     void send_counts(time_point now);
     queue_counts counts_message() const;
@@ -201,14 +201,14 @@
     std::map<std::uint64_t, std::pair<store_user, std::uint64_t>> store_ids_;
     wall_time wall_{};
     time_point last_count_{};
-    std::map<std::string, std::uint64_t> told_counts_;
-    std::uint64_t told_config_revision_ = 0;
+    std::map<std::string, std::uint64_t> sent_counts_;
+    std::uint64_t sent_config_revision_ = 0;
     // Entry addresses last sent to the agents, and the version of the members that they are from.
-    std::vector<std::string> told_addresses_;
-    std::uint64_t told_members_version_ = 0;
+    std::vector<std::string> sent_addresses_;
+    std::uint64_t sent_members_version_ = 0;
     bool is_plan_needed_ = false;
     // Time has passed, the store has replied, or the members have changed, so sessions have to be updated.
-    bool is_upkeep_needed_ = true;
+    bool is_session_update_needed_ = true;
     bool is_shutting_down_ = false;
     time_point refuse_at_ = time_point::max();
     time_point hand_over_at_{};
--- a/coordination/entry_jobs.cpp
+++ b/coordination/entry_jobs.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Retry delay for refused callers if no better estimate is available.
-constexpr milliseconds usual_retry{1000};
+constexpr milliseconds default_retry_delay{1000};
 
 } // namespace
 
@@ -90,8 +90,8 @@
         return;
     job->revision = result.revision;
     // Ends reported after the record was created are covered by the next one.
-    std::vector<unrecorded_end> later;
-    for (const unrecorded_end& end : job->unrecorded) {
+    std::vector<unacknowledged_end> later;
+    for (const unacknowledged_end& end : job->unrecorded) {
         if (end.reported <= job->progress_made)
             acknowledge(end.agent, end.backend_life, end.number);
         else
@@ -138,7 +138,7 @@
         ledger_.erase(id);
         for (const waiting_caller& caller : callers)
             output_.replies.push_back({caller.token, caller_reply_kind::refused, job_state::unknown,
-                                       submit_refusal::store_unavailable, usual_retry});
+                                       submit_refusal::store_unavailable, default_retry_delay});
         return;
     }
 }
@@ -156,7 +156,7 @@
     ledger_.erase(id);
 }
 
-void entry_core::forget_old(time_point now) {
+void entry_core::forget_expired(time_point now) {
     while (const auto old = ended_.take_older(now - limits_.retention)) {
         if (old->second.is_kept)
             commits_.add({old->first, commit_forget{}}, now);
@@ -167,7 +167,7 @@
     is_plan_needed_ = false;
     if (!config_)
         return;
-    const bool may_place_kept = is_owner_certain(now);
+    const bool may_place_kept = is_ownership_certain(now);
     std::vector<ledger_job*> waiting;
     for (auto& [id, job] : ledger_.jobs()) {
         if (job.is_kept() && !may_place_kept)
@@ -219,7 +219,7 @@
                 1, std::chrono::duration_cast<milliseconds>(job.answer_by - now).count());
         message.job = key.second;
         message.payload = job.record->plan.payload;
-        message.pong = {agent.last_reading_ns, is_owner_certain(now)};
+        message.pong = {agent.last_reading_ns, is_ownership_certain(now)};
         resources needs;
         for (const run_start& start : message.runs)
             needs += start.needs;
--- a/coordination/entry_limits.h
+++ b/coordination/entry_limits.h
@@ -25,19 +25,19 @@
     milliseconds retention{150000};
     // After this time without contact to the store, an entry no longer counts as the owner of its jobs.
     // Longer than the outages that the platform announces, because no entry can adopt jobs during those.
-    milliseconds store_silence_limit{6000};
+    milliseconds store_contact_timeout{6000};
     // Ends of runs are recorded with the end of their job, or after this time.
     milliseconds progress_delay{1000};
     // Interval at which entries exchange their counts of pending jobs.
     milliseconds count_interval{400};
     // A caller that queries a job whose end is being written is answered once it is written, but after this
     // time at the latest.
-    milliseconds ending_wait{200};
+    milliseconds end_commit_wait{200};
     // An agent that refused a run gets no other run for this long. The state update that explains the refusal
     // arrives within this time.
     milliseconds refusal_pause{20};
     // New jobs that need the store are refused once it has been failing for this long.
-    milliseconds store_failure_patience{300};
+    milliseconds store_failure_timeout{300};
 };
 
 } // namespace persimmonstile
--- a/coordination/entry_sessions.cpp
+++ b/coordination/entry_sessions.cpp
@@ -15,7 +15,7 @@
 
 // Applies the changes that the session keeper reports: a session has begun or was lost, other entries joined
 // or left, jobs were adopted.
-void entry_core::keep_sessions(time_point now) {
+void entry_core::update_sessions(time_point now) {
     std::set<incarnation> connected;
     for (const auto& [link, peer] : peers_)
         connected.insert(peer.session);
@@ -28,12 +28,12 @@
             commits_.set_session(session(), keeper_.entry_revision());
         for (const auto& [link, peer] : peers_)
             output_.messages.emplace_back(link, peer_introduction{name_, session()});
-        welcome_all();
+        send_welcome_to_all();
     }
-    if (members().version() != told_members_version_) {
-        told_members_version_ = members().version();
-        if (entry_addresses() != told_addresses_)
-            welcome_all();
+    if (members().version() != sent_members_version_) {
+        sent_members_version_ = members().version();
+        if (entry_addresses() != sent_addresses_)
+            send_welcome_to_all();
     }
     take_adopted(now);
     settle_successions(now);
@@ -75,7 +75,7 @@
         for (const auto& [name, agent] : members().agents())
             state.unanswered.insert(name);
         state.certain_at = now + owner_contact_lease + limits_.run_lease_bound() +
-                           (adopted.may_live ? limits_.store_silence_limit : milliseconds{0});
+                           (adopted.may_live ? limits_.store_contact_timeout : milliseconds{0});
         for (const store_item& item : adopted.jobs) {
             const auto* record = std::get_if<open_job>(&item.value);
             const job_id id = item.key.substr(prefix.size());
@@ -125,7 +125,7 @@
         if (!state.is_settled && may_settle(state, now)) {
             state.is_settled = true;
             // Other successions may have been waiting for this one.
-            is_upkeep_needed_ = true;
+            is_session_update_needed_ = true;
             note("runs of a former session are settled", {},
                  {{"former", session_text(it->first)},
                   {"unanswered", static_cast<std::int64_t>(state.unanswered.size())}});
--- a/coordination/job_course.cpp
+++ b/coordination/job_course.cpp
@@ -16,7 +16,8 @@
 
 } // namespace
 
-std::vector<std::pair<std::string_view, decision::value>> course_of(const ledger_job& job, time_point now) {
+std::vector<std::pair<std::string_view, decision::value>> summarize_job(const ledger_job& job,
+                                                                        time_point now) {
     std::int64_t tasks = 0;
     std::int64_t done = 0;
     std::int64_t runs = 0;
--- a/coordination/late_job_patience.h
+++ b/coordination/late_job_patience.h
@@ -14,15 +14,15 @@
 public:
     // A late job was placed, or none is waiting.
     void served() { starved_since_.reset(); }
-    // A plan placed no late job but started others_begun runs of other jobs.
-    void passed_over(std::size_t others_begun, time_point now);
+    // A plan placed no late job but started other_starts runs of other jobs.
+    void passed_over(std::size_t other_starts, time_point now);
     // Whether late jobs that cannot be placed are to be refused at once.
     bool is_over(time_point now) const;
 
 private:
     std::optional<time_point> starved_since_;
     time_point last_passed_over_{};
-    std::size_t others_begun_ = 0;
+    std::size_t other_starts_ = 0;
 };
 
 } // namespace persimmonstile
--- a/coordination/ledger_job.h
+++ b/coordination/ledger_job.h
@@ -22,7 +22,7 @@
 enum class job_phase : std::uint8_t { accepting, open, ending, ended };
 
 // A reported end of a run, to be acknowledged once its effect on the job is in the store.
-struct unrecorded_end {
+struct unacknowledged_end {
     agent_number agent = 0;
     std::uint64_t backend_life = 0;
     std::uint64_t number = 0;
@@ -63,7 +63,7 @@
     // Occurrences that are done or running; later ones are not due yet.
     std::uint32_t next_occurrence = 0;
     std::uint32_t occurrences_left = 0;
-    std::vector<unrecorded_end> unrecorded;
+    std::vector<unacknowledged_end> unrecorded;
     // A record with progress is being written; progress_made is when it was created.
     bool is_progress_written = false;
     time_point progress_made{};
--- a/coordination/overload_watch.h
+++ b/coordination/overload_detector.h
@@ -11,20 +11,20 @@
     milliseconds late{40};
     // All timers must be late for this long before the process is overloaded. Longer than any single work
     // item.
-    milliseconds judged_over{250};
+    milliseconds detection_time{250};
     // Recovery time after an overload. Doubles, up to the maximum, each time the overload recurs too soon.
-    milliseconds shortest_rest{2000};
-    milliseconds longest_rest{8000};
+    milliseconds min_recovery{2000};
+    milliseconds max_recovery{8000};
     // An overload that begins this long after the last one ended is treated as unrelated.
-    milliseconds forgotten_after{15000};
+    milliseconds repeat_window{15000};
 };
 
 // Detects from late timers that a process is overloaded and should receive less load. A queue that drains now
 // and then is normal; one that persists means that work arrives faster than it is handled. After an overload
 // the process stays marked for a recovery time (hysteresis), so that the state does not oscillate.
-class overload_watch {
+class overload_detector {
 public:
-    explicit overload_watch(const overload_limits& limits = {})
+    explicit overload_detector(const overload_limits& limits = {})
         : limits_{limits} {}
 
     // A timer that was due at the time `due` has fired.
@@ -39,8 +39,8 @@
     bool is_overloaded_ = false;
     // Start of the current series of late timers; time_point::max() if the last timer was on time.
     time_point late_since_ = time_point::max();
-    time_point rests_until_{};
-    milliseconds rest_{0};
+    time_point recovering_until_{};
+    milliseconds recovery_{0};
     time_point ended_{};
 };
 
--- a/daemon/durable_entry.cpp
+++ b/daemon/durable_entry.cpp
@@ -18,8 +18,8 @@
 // Timers fire late rather than early; shorter waits would only cost wake-ups.
 constexpr milliseconds shortest_wait{1};
 
-// Often enough to see a standing queue within a fraction of overload_limits::judged_over, and a fiftieth of
-// the work that requests make.
+// Often enough to see a standing queue within a fraction of overload_limits::detection_time, and a fiftieth
+// of the work that requests make.
 constexpr milliseconds load_probe_interval{25};
 
 member_entry make_member(const daemon_settings& settings) {
--- a/daemon/durable_entry.h
+++ b/daemon/durable_entry.h
@@ -2,7 +2,7 @@
 
 #include "coordination/connection_shedding.h"
 #include "coordination/entry_core.h"
-#include "coordination/overload_watch.h"
+#include "coordination/overload_detector.h"
 #include "daemon/entry_metrics.h"
 #include "daemon/link_hub.h"
 #include "daemon/store_router.h"
@@ -93,7 +93,7 @@
     time_point timer_due_{};
     // Fires at a fixed interval, whatever else there is to do.
     asio::steady_timer load_probe_;
-    overload_watch overload_;
+    overload_detector overload_;
     connection_shedding shedding_;
     std::string own_address_;
     caller_token last_token_ = 0;
