--- a/coordination/admission.cpp
+++ b/coordination/admission.cpp
@@ -12,12 +12,12 @@
 // Backend servers that have left return only after a restart or an operator's action.
 constexpr std::chrono::milliseconds none_left_retry{2000};
 
-constexpr std::chrono::milliseconds shortest_retry{100};
-constexpr std::chrono::milliseconds longest_retry{30000};
+constexpr std::chrono::milliseconds min_retry_delay{100};
+constexpr std::chrono::milliseconds max_retry_delay{30000};
 
 // A team may use up to this multiple of the free queue capacity. One team alone can hold 80% of the queue,
 // and k teams together 4k/(4k+1). A team with an empty queue always finds capacity.
-constexpr double queue_part_factor = 4;
+constexpr double team_queue_factor = 4;
 
 job_failed refuse(std::string detail, std::chrono::milliseconds retry_after, bool at_capacity) {
     return {failure_reason::not_run, std::move(detail), retry_after.count(), at_capacity};
@@ -28,28 +28,29 @@
 }
 
 std::chrono::milliseconds retry_hint(double seconds) {
-    const double limited = std::min(seconds, std::chrono::duration<double>{longest_retry}.count());
+    const double limited = std::min(seconds, std::chrono::duration<double>{max_retry_delay}.count());
     const std::chrono::milliseconds hint{std::llround(limited * 1000)};
-    return std::max(hint, shortest_retry);
+    return std::max(hint, min_retry_delay);
 }
 
 // Upper bound on the time until the last task of the job starts, in seconds.
 double expected_wait(const admission_load& load, std::size_t tasks) {
     const double rate = std::max(load.rate, 1e-9);
-    // Smaller jobs that arrive later overtake the job while it waits, but only up to the limit passing_time.
-    const double undisturbed = wait_without_passing(load, tasks);
-    const double while_waiting = undisturbed / (1 - std::min(load.smaller_load, 0.99));
-    const double passing = load.passing_time * static_cast<double>(tasks) / rate;
-    return std::min(while_waiting, undisturbed + load.smaller_load * passing);
+    // Smaller jobs that arrive later overtake the job while it waits, but only up to the limit
+    // max_overtaking_factor.
+    const double undisturbed = wait_without_overtaking(load, tasks);
+    const double while_waiting = undisturbed / (1 - std::min(load.smaller_job_fraction, 0.99));
+    const double passing = load.max_overtaking_factor * static_cast<double>(tasks) / rate;
+    return std::min(while_waiting, undisturbed + load.smaller_job_fraction * passing);
 }
 
 } // namespace
 
-double wait_without_passing(const admission_load& load, std::size_t tasks) {
+double wait_without_overtaking(const admission_load& load, std::size_t tasks) {
     const auto own = static_cast<double>(tasks);
     const double rate = std::max(load.rate, 1e-9);
     const double after_all = (static_cast<double>(load.service_waiting) + own) / rate;
-    const double after_team = (load.team_ahead + own) / (rate * load.team_part);
+    const double after_team = (load.team_ahead + own) / (rate * load.team_fraction);
     const double wait = std::min(after_all, after_team);
     if (load.team_rate_limit <= 0)
         return wait;
@@ -82,7 +83,7 @@
 std::optional<job_failed> check_queue(const admission_load& load, std::uint32_t queue_limit,
                                       std::size_t tasks) {
     const std::size_t room = queue_limit - std::min<std::size_t>(queue_limit, load.service_waiting);
-    const double team_room = load.shares_queue ? queue_part_factor * static_cast<double>(room) -
+    const double team_room = load.shares_queue ? team_queue_factor * static_cast<double>(room) -
                                                      static_cast<double>(load.team_waiting)
                                                : static_cast<double>(room);
     const auto wanted = static_cast<double>(tasks);
@@ -105,8 +106,8 @@
     idle.service_waiting = 0;
     idle.team_waiting = 0;
     idle.team_ahead = 0;
-    idle.team_part = 1;
-    idle.smaller_load = 0;
+    idle.team_fraction = 1;
+    idle.smaller_job_fraction = 0;
     const bool fits_when_idle = expected_wait(idle, tasks) + load.run_seconds <= left;
     return refuse("the job is not expected to end before its deadline", retry_hint(finish - left),
                   fits_when_idle);
--- a/coordination/admission.h
+++ b/coordination/admission.h
@@ -23,13 +23,13 @@
     double team_ahead = 0;
     double rate = 0;
     // Minimum fraction of the rate that the team gets while all teams with waiting jobs compete.
-    double team_part = 1;
+    double team_fraction = 1;
     // Maximum rate of the team because of max_running; 0 if there is no limit.
     double team_rate_limit = 0;
     // Fraction of the rate that smaller jobs use, and for how long they may overtake the job. The latter is a
     // multiple of the time that the job takes alone.
-    double smaller_load = 0;
-    double passing_time = 0;
+    double smaller_job_fraction = 0;
+    double max_overtaking_factor = 0;
     // Mean run time of tasks of the job's class; 0 while there are too few samples.
     double run_seconds = 0;
     // True if several teams exist, so that one team must not use the whole queue.
@@ -45,7 +45,7 @@
                                       std::size_t tasks);
 
 // Upper bound on the time until the last task of the job starts, in seconds, if no later job overtakes it.
-double wait_without_passing(const admission_load& load, std::size_t tasks);
+double wait_without_overtaking(const admission_load& load, std::size_t tasks);
 
 // Refuses a job that is not expected to end within the time left.
 std::optional<job_failed> check_deadline(const admission_load& load, std::size_t tasks,
--- a/coordination/admission_job_mix.h
+++ b/coordination/admission_job_mix.h
@@ -13,7 +13,7 @@
     void add(std::size_t size_class, std::size_t tasks) {
         counts_[size_class] += static_cast<double>(tasks);
         total_ += static_cast<double>(tasks);
-        if (total_ < remembered_tasks)
+        if (total_ < decay_threshold_tasks)
             return;
         for (double& count : counts_)
             count /= 2;
@@ -21,7 +21,7 @@
     }
 
     // Fraction of the tasks that belong to jobs of smaller classes.
-    double part_below(std::size_t size_class) const {
+    double fraction_below(std::size_t size_class) const {
         double below = 0;
         for (std::size_t i = 0; i < size_class; ++i)
             below += counts_[i];
@@ -31,7 +31,7 @@
 private:
     // The counts are halved at this total. It is some tens of the largest jobs, so that a single job has
     // little effect on the distribution.
-    static constexpr double remembered_tasks = 20000;
+    static constexpr double decay_threshold_tasks = 20000;
 
     std::array<double, fair_queue::size_classes> counts_{};
     double total_ = 0;
--- a/coordination/entry_jobs.cpp
+++ b/coordination/entry_jobs.cpp
@@ -179,9 +179,9 @@
         return;
     const run_plan plan = planner_.plan(waiting, agents_, times_, *config_, now);
     send_starts(plan.runs, now);
-    for (const job_id& id : plan.hopeless)
+    for (const job_id& id : plan.cannot_finish)
         refuse_waiting(*ledger_.find(id), "cannot end in time", now);
-    for (const job_id& id : plan.without_prospect)
+    for (const job_id& id : plan.late_without_capacity)
         refuse_waiting(*ledger_.find(id), "would be late, room goes to others", now);
 }
 
--- a/coordination/job_locator.cpp
+++ b/coordination/job_locator.cpp
@@ -8,11 +8,11 @@
 
 // An owner answers within a few milliseconds. After a timeout the store is read again, because the job may
 // have another owner by now.
-constexpr milliseconds answer_patience{250};
-constexpr milliseconds retry_pause{60};
+constexpr milliseconds answer_timeout{250};
+constexpr milliseconds retry_delay{60};
 
 // Maximum number of cached owners: the jobs of one entry in a day.
-constexpr std::size_t most_owners = 20000;
+constexpr std::size_t max_cached_owners = 20000;
 
 } // namespace
 
@@ -29,7 +29,7 @@
 
 void job_locator::start(std::uint64_t id, lookup& pending, time_point now) {
     pending.asked = now;
-    pending.again = now + answer_patience;
+    pending.again = now + answer_timeout;
     const auto known = owners_.find(pending.job);
     if (known == owners_.end())
         reads_.push_back({id, pending.job});
@@ -55,7 +55,7 @@
     const auto* item = std::get_if<item_found>(&answer);
     const auto* status = item != nullptr ? std::get_if<job_status>(&item->item.value) : nullptr;
     if (status == nullptr) {
-        pending.again = now + retry_pause;
+        pending.again = now + retry_delay;
         return;
     }
     if (is_final(status->state)) {
@@ -74,14 +74,14 @@
         // The owner is gone and its jobs have not been adopted yet. The job was accepted, but whether it has
         // started is unknown, so it is reported as queued.
         if (pending.is_cancel) {
-            pending.again = now + retry_pause;
+            pending.again = now + retry_delay;
         } else {
             reply(pending, caller_reply_kind::state, job_state::queued);
             lookups_.erase(found);
         }
         return;
     }
-    if (owners_.size() >= most_owners)
+    if (owners_.size() >= max_cached_owners)
         owners_.clear();
     owners_[pending.job] = *owner;
     start(id, pending, now);
@@ -95,7 +95,7 @@
     if (!answer.is_known) {
         // The cached owner no longer has the job.
         owners_.erase(pending.job);
-        pending.again = now + retry_pause;
+        pending.again = now + retry_delay;
         return;
     }
     const bool is_cancelled = pending.is_cancel && is_final(answer.state);
--- a/coordination/run_planner.cpp
+++ b/coordination/run_planner.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 // Time for a start order and its report in addition to the run: within a zone, and extra between zones.
-constexpr double local_way_seconds = 0.002;
-constexpr double remote_way_seconds = 0.003;
+constexpr double local_overhead_seconds = 0.002;
+constexpr double remote_overhead_seconds = 0.003;
 
 // Random variation of the cost. Entries that see the same free capacity must not all choose the same one of
 // several equal backend servers.
@@ -20,23 +20,23 @@
 
 // Among nearly equal backend servers, one with more free capacity is less likely to be full when the order
 // arrives. At full utilization the cost is higher by this fraction.
-constexpr double used_room_weight = 0.3;
+constexpr double utilization_weight = 0.3;
 
 // Cost factor of a backend server where this task failed before, so that it is chosen last.
-constexpr double avoided_factor = 4;
+constexpr double failed_backend_factor = 4;
 
 // A job ends with its longest task. That task takes about this multiple of the expected run time, because a
 // step has several tasks and their run times differ.
 constexpr double longest_task_factor = 1.3;
 
 // Whether a job can end in time, late but still useful, or too late for its caller.
-enum class worth : std::uint8_t { in_time, late, none };
+enum class timeliness : std::uint8_t { in_time, late, none };
 
-worth worth_of(const job_target& target, time_point now) {
+timeliness timeliness_of(const job_target& target, time_point now) {
     const std::chrono::duration<double, std::milli> longest_chain = longest_task_factor * target.chain;
     if (now + longest_chain <= target.in_time)
-        return worth::in_time;
-    return now + target.chain <= target.useful ? worth::late : worth::none;
+        return timeliness::in_time;
+    return now + target.chain <= target.useful ? timeliness::late : timeliness::none;
 }
 
 bool has_label(const agent_view& agent, const std::string& label) {
@@ -49,8 +49,8 @@
 }
 
 // Number of tasks of the step that run at the agent or are planned for it.
-std::size_t count_of_step(const agent_view& agent, const task_ref& step,
-                          const std::vector<planned_run>& planned) {
+std::size_t count_step_tasks(const agent_view& agent, const task_ref& step,
+                             const std::vector<planned_run>& planned) {
     const auto running = std::count_if(agent.runs.begin(), agent.runs.end(),
                                        [&](const auto& run) { return is_same_step(run.first.task, step); });
     const auto chosen = std::count_if(planned.begin(), planned.end(), [&](const planned_run& run) {
@@ -72,17 +72,18 @@
                            const run_time_model& times, const deployment_config& config, time_point now) {
     struct candidate {
         ledger_job* job;
-        worth value;
+        timeliness value;
         time_point due;
     };
     std::vector<candidate> order;
     order.reserve(waiting.size());
     for (ledger_job* job : waiting) {
         const job_target target = times.target_of(*job, find_queue_named(config, job->record->queue));
-        const worth value = worth_of(target, now);
+        const timeliness value = timeliness_of(target, now);
         // Started jobs finish before other late jobs start; otherwise the work done for them would be lost.
-        const bool is_first = value == worth::in_time || (value == worth::late && job->has_begun);
-        order.push_back({job, is_first ? worth::in_time : value, is_first ? target.in_time : target.useful});
+        const bool is_first = value == timeliness::in_time || (value == timeliness::late && job->has_begun);
+        order.push_back(
+            {job, is_first ? timeliness::in_time : value, is_first ? target.in_time : target.useful});
     }
     std::sort(order.begin(), order.end(), [](const candidate& left, const candidate& right) {
         return std::tie(left.value, left.due, left.job->id) < std::tie(right.value, right.due, right.job->id);
@@ -110,13 +111,13 @@
                 }
             });
         const std::size_t planned = result.runs.size() - planned_before;
-        if (next.value == worth::none && planned == 0)
-            result.hopeless.push_back(next.job->id);
+        if (next.value == timeliness::none && planned == 0)
+            result.cannot_finish.push_back(next.job->id);
         late_jobs& of_service = late[service];
-        if (next.value != worth::late)
-            of_service.others_begun += planned;
+        if (next.value != timeliness::late)
+            of_service.other_starts += planned;
         else if (planned > 0)
-            of_service.is_one_begun = true;
+            of_service.has_late_start = true;
         else if (!next.job->is_kept())
             of_service.without_room.push_back(next.job->id);
     }
@@ -128,13 +129,13 @@
 // Refuses the late jobs of a service if all capacity keeps going to other jobs.
 void run_planner::refuse_late(const late_jobs& jobs, late_job_patience& patience, run_plan& result,
                               time_point now) {
-    if (jobs.is_one_begun)
+    if (jobs.has_late_start)
         patience.served();
     else if (!jobs.without_room.empty())
-        patience.passed_over(jobs.others_begun, now);
+        patience.passed_over(jobs.other_starts, now);
     if (patience.is_over(now))
-        result.without_prospect.insert(result.without_prospect.end(), jobs.without_room.begin(),
-                                       jobs.without_room.end());
+        result.late_without_capacity.insert(result.late_without_capacity.end(), jobs.without_room.begin(),
+                                            jobs.without_room.end());
 }
 
 // Returns the agents that may get a run now and records their free capacity. Suspect agents are left out if
@@ -142,21 +143,21 @@
 // succeed.
 std::vector<agent_view*> run_planner::usable_agents(agent_directory& agents, const std::string& service,
                                                     const deployment_config& config, time_point now) {
-    std::vector<agent_view*> sound;
+    std::vector<agent_view*> healthy;
     std::vector<agent_view*> all;
     for (auto& [number, agent] : agents.all()) {
         if (!is_usable(agent, service, config, now))
             continue;
         all.push_back(&agent);
         if (!agent.profile.is_suspect)
-            sound.push_back(&agent);
+            healthy.push_back(&agent);
         room_[number] = agent.free();
     }
-    return 2 * sound.size() >= all.size() ? sound : all;
+    return 2 * healthy.size() >= all.size() ? healthy : all;
 }
 
 // Fraction of a backend server's processors in use, including the runs planned so far.
-double run_planner::used_part(const agent_view& agent) const {
+double run_planner::utilization(const agent_view& agent) const {
     const auto all = static_cast<double>(agent.profile.backend.capacity.cpu_millicores);
     const auto free = static_cast<double>(room_.at(agent.number).cpu_millicores);
     return all > 0 ? 1 - free / all : 1;
@@ -177,15 +178,15 @@
             continue;
         if (!step.required_label.empty() && !has_label(*agent, step.required_label))
             continue;
-        if (step.max_per_backend > 0 && count_of_step(*agent, task, planned) >= step.max_per_backend)
+        if (step.max_per_backend > 0 && count_step_tasks(*agent, task, planned) >= step.max_per_backend)
             continue;
         double cost = seconds * agent->slowness.value_or(1.0) * jitter(random_) *
-                      (1 + used_room_weight * used_part(*agent));
+                      (1 + utilization_weight * utilization(*agent));
         if (!step.data_rack.empty() && step.data_rack != agent->profile.backend.rack)
             cost *= remote_data_factor_;
         if (std::find(state.avoided.begin(), state.avoided.end(), agent->number) != state.avoided.end())
-            cost *= avoided_factor;
-        cost += local_way_seconds + (agent->profile.zone == zone_ ? 0 : remote_way_seconds);
+            cost *= failed_backend_factor;
+        cost += local_overhead_seconds + (agent->profile.zone == zone_ ? 0 : remote_overhead_seconds);
         if (best == nullptr || cost < best_cost) {
             best = agent;
             best_cost = cost;
--- a/coordination/run_planner.h
+++ b/coordination/run_planner.h
@@ -27,9 +27,9 @@
 struct run_plan {
     std::vector<planned_run> runs;
     // Jobs for which no task could be placed and which can no longer end in time for their callers.
-    std::vector<job_id> hopeless;
+    std::vector<job_id> cannot_finish;
     // Jobs that will be late while all capacity goes to other jobs.
-    std::vector<job_id> without_prospect;
+    std::vector<job_id> late_without_capacity;
 };
 
 // Decides which waiting tasks run where. It orders jobs by how useful their completion still is, and chooses
@@ -59,9 +59,9 @@
     // The late jobs of a service that have not started, in one planning pass.
     struct late_jobs {
         std::vector<job_id> without_room;
-        bool is_one_begun = false;
+        bool has_late_start = false;
         // Runs planned for jobs that can end in time or have already started.
-        std::size_t others_begun = 0;
+        std::size_t other_starts = 0;
     };
 
     static void refuse_late(const late_jobs& jobs, late_job_patience& patience, run_plan& result,
@@ -71,7 +71,7 @@
     agent_view* choose(const ledger_job& job, const task_ref& task, const ledger_task& state, double seconds,
                        const std::vector<agent_view*>& usable, const std::vector<planned_run>& planned);
 
-    double used_part(const agent_view& agent) const;
+    double utilization(const agent_view& agent) const;
 
     std::string zone_;
     double remote_data_factor_;
--- a/coordination/run_time_model.cpp
+++ b/coordination/run_time_model.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 // Run time assumed for a task whose caller gave no estimate.
-constexpr double unknown_seconds = 0.2;
+constexpr double default_run_seconds = 0.2;
 
 // A completion is worth less after its objective, and nothing after this multiple of it.
-constexpr int useful_multiple = 3;
+constexpr int max_useful_multiple = 3;
 
 double seconds_of(milliseconds time) {
     return std::chrono::duration<double>{time}.count();
@@ -21,7 +21,7 @@
 
 void run_time_model::observe(const std::string& queue, milliseconds estimate,
                              std::chrono::microseconds run_time, double slowness) {
-    const double expected = estimate.count() > 0 ? seconds_of(estimate) : unknown_seconds;
+    const double expected = estimate.count() > 0 ? seconds_of(estimate) : default_run_seconds;
     const double measured = std::chrono::duration<double>{run_time}.count();
     if (measured <= 0 || slowness <= 0)
         return;
@@ -29,7 +29,7 @@
 }
 
 double run_time_model::expected_seconds(const std::string& queue, milliseconds estimate) const {
-    const double base = estimate.count() > 0 ? seconds_of(estimate) : unknown_seconds;
+    const double base = estimate.count() > 0 ? seconds_of(estimate) : default_run_seconds;
     const auto found = ratios_.find(queue);
     return found == ratios_.end() ? base : base * found->second.value_or(1.0);
 }
@@ -54,7 +54,7 @@
     job_target target;
     target.chain = std::chrono::duration_cast<milliseconds>(std::chrono::duration<double>{longest});
     target.in_time = job.accepted + objective;
-    target.useful = std::min<time_point>(job.accepted + useful_multiple * objective, job.answer_by);
+    target.useful = std::min<time_point>(job.accepted + max_useful_multiple * objective, job.answer_by);
     return target;
 }
 
--- a/coordination/scheduler.cpp
+++ b/coordination/scheduler.cpp
@@ -19,13 +19,13 @@
 // Fraction of the capacity beyond its own part that an entry uses when other entries share the agent. Entries
 // that see the same free capacity and use all of it send too many tasks at once: with three entries at 70%
 // load, 1.5% of the tasks were refused, and 0.1% with this fraction.
-constexpr double shared_part = 0.75;
+constexpr double shared_slot_fraction = 0.75;
 
 // Run time assumed until the first task of a service has ended.
 constexpr double initial_run_seconds = 0.3;
 
 // A mean run time averages about this many of the latest tasks.
-constexpr std::uint32_t averaged_run_times = 64;
+constexpr std::uint32_t run_time_window = 64;
 
 // How much longer a job waits behind smaller jobs of its team, as a multiple of the time that it takes alone.
 // It limits the wait of large jobs, while small jobs keep a low response time relative to the ideal. At 120%
@@ -33,46 +33,46 @@
 constexpr double size_penalty = 16;
 
 // If the queue takes longer than this, an entry counts only its own part of the slots.
-constexpr double longest_shared_wait_seconds = 2;
+constexpr double max_shared_wait_seconds = 2;
 
 // The rate is an estimate, so a job is given up early only if it clearly needs more than the time left.
-constexpr double hopeless_margin = 0.8;
-constexpr std::chrono::seconds parking_time{1};
+constexpr double infeasible_margin = 0.8;
+constexpr std::chrono::seconds deferral_time{1};
 
 // Minimum number of samples of a task class before deadlines are checked against its mean run time.
-constexpr std::uint32_t samples_to_judge = 8;
+constexpr std::uint32_t min_deadline_samples = 8;
 
 // A job that would miss its deadline even on an idle system is admitted once per interval, so that a stale
 // mean run time is corrected.
-constexpr std::chrono::seconds doubt_interval{1};
+constexpr std::chrono::seconds mean_recheck_interval{1};
 
 // Callers choose the methods, so the number of classes must be limited. Further methods use the class of
 // jobs.
-constexpr std::size_t most_task_classes = 64;
+constexpr std::size_t max_task_classes = 64;
 
 // Backend servers differ in speed by a factor of 4. One that is slower than the typical one by this factor is
 // defective, and a task on it would take longer than waiting for another backend server.
 constexpr double slowness_limit = 6;
 constexpr std::uint32_t samples_for_slowness = 3;
-constexpr double usual_ratio_limit = 2;
+constexpr double normal_ratio_limit = 2;
 
 // A backend server with one task counts as silent after this multiple of the mean run time, and one with k
 // tasks after a k-th of that. With exponential run times, a healthy one is silent for that long with a
 // probability of exp(-16). One more mean run time is allowed for tasks that queue behind those of other
 // entries.
 constexpr double silence_factor = 16;
-constexpr double shortest_silence_seconds = 1;
+constexpr double min_silence_seconds = 1;
 constexpr std::chrono::seconds silence_check_interval{1};
 
 // The reported load of other entries decays with a half-life of one task's run time, but at least this long.
-constexpr double shortest_load_half_life_seconds = 0.02;
+constexpr double min_load_half_life_seconds = 0.02;
 
 double seconds_between(time_point from, time_point to) {
     return std::chrono::duration<double>{to - from}.count();
 }
 
 double run_weight(std::uint32_t samples) {
-    return 1.0 / std::min(samples + 1, averaged_run_times);
+    return 1.0 / std::min(samples + 1, run_time_window);
 }
 
 time_point after_seconds(time_point from, double seconds) {
@@ -131,7 +131,7 @@
     scheduler_job& record = job_record(job, spec, deadline, now);
     record.next = 0;
     // Smaller jobs may overtake this one only while it can still meet its deadline.
-    const double needed = wait_without_passing(load_for(spec), spec.tasks.size());
+    const double needed = wait_without_overtaking(load_for(spec), spec.tasks.size());
     const double latest_start = seconds_between(time_point{}, deadline) - needed;
     record.order = std::clamp(latest_start, seconds_between(time_point{}, now), record.order);
     record.end = static_cast<task_index>(spec.tasks.size());
@@ -142,7 +142,7 @@
     // Averaged over arrivals, which gives the same load as an average over time.
     const double places = std::max(true_rate(service) * mean_or_initial(service), 1.0);
     const double busy = std::min(1.0, static_cast<double>(service.in_flight) / places);
-    service.busy += (busy - service.busy) / averaged_run_times;
+    service.busy += (busy - service.busy) / run_time_window;
     enqueue(job_numbers_.at(job));
     return std::nullopt;
 }
@@ -166,14 +166,14 @@
     // A long queue here means that other entries have one too, although their latest reports may not show it
     // yet. The entry then gets only its own part of the slots.
     const bool long_queue =
-        static_cast<double>(service.waiting + spec.tasks.size()) > load.rate * longest_shared_wait_seconds;
+        static_cast<double>(service.waiting + spec.tasks.size()) > load.rate * max_shared_wait_seconds;
     if (long_queue && service.rate > 0)
-        load.rate *= std::min(1.0, service.part_rate / service.rate);
-    load.smaller_load = service.busy * service.mix.part_below(size);
-    load.passing_time = size_penalty;
+        load.rate *= std::min(1.0, service.own_slots_rate / service.rate);
+    load.smaller_job_fraction = service.busy * service.mix.fraction_below(size);
+    load.max_overtaking_factor = size_penalty;
     const auto kind_found = service.class_by_method.find(spec.method);
     const std::size_t kind = kind_found == service.class_by_method.end() ? 0 : kind_found->second;
-    if (service.task_classes[kind].samples >= samples_to_judge)
+    if (service.task_classes[kind].samples >= min_deadline_samples)
         load.run_seconds = service.task_classes[kind].mean_seconds;
 
     const auto team = team_numbers_.find(spec.team);
@@ -181,10 +181,10 @@
         return load;
     const scheduler_team& state = teams_[team->second];
     load.team_waiting = service.queue.waiting(team->second);
-    load.team_part = state.share / (state.share + service.queue.competing_shares(team->second));
+    load.team_fraction = state.share / (state.share + service.queue.competing_shares(team->second));
     load.team_rate_limit = state.max_running / mean_or_initial(service);
     const double rate = std::max(load.rate, 1.0);
-    const double longest_wait = static_cast<double>(load.team_waiting) / (rate * load.team_part);
+    const double longest_wait = static_cast<double>(load.team_waiting) / (rate * load.team_fraction);
     load.team_ahead = service.queue.waiting_before(team->second, size, size_penalty / rate, longest_wait);
     return load;
 }
@@ -214,7 +214,7 @@
         return refused;
     service_state& service = services_[service_numbers_.at(spec.service)];
     const scheduler_task_class& kind = service.task_classes[task_class(service, spec.method)];
-    return now - kind.last_admitted >= doubt_interval ? std::nullopt : refused;
+    return now - kind.last_admitted >= mean_recheck_interval ? std::nullopt : refused;
 }
 
 template <placement_policy policy>
@@ -239,12 +239,12 @@
 }
 
 // Queues deferred jobs again after the deferral time; capacity may have returned.
-template <placement_policy policy> void basic_scheduler<policy>::release_parked(time_point now) {
-    while (!parked_jobs_.empty() && parked_jobs_.front().second <= now) {
-        const auto found = job_numbers_.find(parked_jobs_.front().first);
+template <placement_policy policy> void basic_scheduler<policy>::requeue_deferred(time_point now) {
+    while (!deferred_jobs_.empty() && deferred_jobs_.front().second <= now) {
+        const auto found = job_numbers_.find(deferred_jobs_.front().first);
         if (found != job_numbers_.end())
             enqueue(found->second);
-        parked_jobs_.pop_front();
+        deferred_jobs_.pop_front();
     }
 }
 
@@ -339,7 +339,7 @@
     // If a task of normal length ends the silence, it was an interruption. Otherwise the silence counts as
     // evidence of slowness: the first tasks to end are the shortest ones and understate how slow the backend
     // server has become.
-    const bool interrupted = cause == ejection_cause::silence && ratio <= usual_ratio_limit;
+    const bool interrupted = cause == ejection_cause::silence && ratio <= normal_ratio_limit;
     if (cause == ejection_cause::silence && !interrupted)
         backend.slowness.reset(std::sqrt(backend.slowness.value_or(1) * ratio));
     if (cause != ejection_cause::none)
@@ -485,7 +485,7 @@
 template <placement_policy policy>
 std::vector<assignment> basic_scheduler<policy>::take_assignments(time_point now) {
     release_held(now);
-    release_parked(now);
+    requeue_deferred(now);
     run_wakeups(now);
     pending_assignments result;
     for (std::uint32_t service = 0; service < services_.size(); ++service) {
@@ -507,7 +507,7 @@
         // The job table ends a job whose deadline has passed. Until then its tasks are skipped.
         if (job.deadline <= now || is_hopeless(state, job, now)) {
             if (job.deadline > now)
-                parked_jobs_.emplace_back(*job.id, now + parking_time);
+                deferred_jobs_.emplace_back(*job.id, now + deferral_time);
             dequeue(selected->job);
             continue;
         }
@@ -519,10 +519,10 @@
 template <placement_policy policy>
 bool basic_scheduler<policy>::is_hopeless(const service_state& service, const scheduler_job& record,
                                           time_point now) {
-    if (service.task_classes[record.task_class].samples < samples_to_judge)
+    if (service.task_classes[record.task_class].samples < min_deadline_samples)
         return false;
     const double needed = static_cast<double>(record.waiting()) / std::max(true_rate(service), 1e-9);
-    return hopeless_margin * needed > seconds_between(now, record.deadline);
+    return infeasible_margin * needed > seconds_between(now, record.deadline);
 }
 
 template <placement_policy policy>
@@ -561,8 +561,8 @@
     std::optional<time_point> next;
     if (!wakeups_.empty())
         next = wakeups_.top().time;
-    if (!parked_jobs_.empty())
-        next = std::min(next.value_or(time_point::max()), parked_jobs_.front().second);
+    if (!deferred_jobs_.empty())
+        next = std::min(next.value_or(time_point::max()), deferred_jobs_.front().second);
     if (!held_jobs_.empty())
         next = std::min(next.value_or(time_point::max()), retry_budget_.next_available());
     return next;
@@ -649,7 +649,7 @@
     const auto found = service.class_by_method.find(method);
     if (found != service.class_by_method.end())
         return found->second;
-    if (service.task_classes.size() >= most_task_classes)
+    if (service.task_classes.size() >= max_task_classes)
         return 0;
     const auto number = static_cast<std::uint8_t>(service.task_classes.size());
     service.task_classes.emplace_back();
@@ -732,7 +732,7 @@
 // Tasks that this entry may have at a backend server regardless of the other entries. The parts of all
 // entries together fit into the slots.
 template <placement_policy policy>
-std::uint32_t basic_scheduler<policy>::own_part(std::uint32_t slots) const {
+std::uint32_t basic_scheduler<policy>::own_slots(std::uint32_t slots) const {
     return std::max<std::uint32_t>(slots / entries_, 1);
 }
 
@@ -755,14 +755,14 @@
 
 // Time without a report after which the backend server counts as silent, in seconds.
 template <placement_policy policy>
-double basic_scheduler<policy>::silence_limit(const scheduler_backend& backend) const {
+double basic_scheduler<policy>::silence_timeout(const scheduler_backend& backend) const {
     float longest = 0;
     for (const in_flight_task& task : backend.in_flight)
         longest = std::max(longest, task.charged);
     const double expected = longest * std::max(1.0, backend.slowness.value_or(1));
     const auto running = std::clamp<std::size_t>(backend.in_flight.size(), 1, std::max(backend.slots, 1U));
     const double factor = 1 + silence_factor / static_cast<double>(running);
-    return std::max(shortest_silence_seconds, factor * expected);
+    return std::max(min_silence_seconds, factor * expected);
 }
 
 // Updates the backend server's contribution to the sums of its service.
@@ -773,21 +773,21 @@
     const bool serving = backend.slots > 0 && agents_[backend.agent].takes_tasks();
     const bool ejected = serving && backend.health.is_ejected();
     const bool counted = serving && !ejected;
-    const double places = std::max<double>(own_part(backend.slots), backend.slots - others);
+    const double places = std::max<double>(own_slots(backend.slots), backend.slots - others);
     const double rate = counted ? places / run_seconds(state, backend) : 0;
-    const double part_rate = counted ? backend.slots / (entries_ * run_seconds(state, backend)) : 0;
+    const double own_slots_rate = counted ? backend.slots / (entries_ * run_seconds(state, backend)) : 0;
     const double failure_ratio = counted ? backend.health.failure_ratio() : 0;
     state.serving += (serving ? 1 : 0) - (backend.is_serving ? 1 : 0);
     state.ejected += (ejected ? 1 : 0) - (backend.is_ejected ? 1 : 0);
     // Without any usable backend server the sums are reset, which removes accumulated rounding errors.
     const bool any = state.serving > state.ejected;
     state.rate = any ? state.rate + rate - backend.rate : 0;
-    state.part_rate = any ? state.part_rate + part_rate - backend.part_rate : 0;
+    state.own_slots_rate = any ? state.own_slots_rate + own_slots_rate - backend.own_slots_rate : 0;
     state.failure_sum = any ? state.failure_sum + failure_ratio - backend.failure_ratio : 0;
     backend.is_serving = serving;
     backend.is_ejected = ejected;
     backend.rate = rate;
-    backend.part_rate = part_rate;
+    backend.own_slots_rate = own_slots_rate;
     backend.failure_ratio = failure_ratio;
 }
 
@@ -797,7 +797,7 @@
     service_state& state = services_[service];
     scheduler_backend& backend = state.backends[number];
     eject_if_silent(service, number, now);
-    const double others = others_now(state, backend, now);
+    const double others = estimate_other_load(state, backend, now);
     update_sums(service, number, others);
     if (const std::optional<placement_load> load = offer(service, number, others, now))
         state.placement.update(number, *load, random_);
@@ -812,7 +812,7 @@
     const bool watched = backend.is_serving && !backend.in_flight.empty() && !backend.health.is_ejected();
     if (!watched || (backend.wakeup && *backend.wakeup <= now + silence_check_interval))
         return;
-    const time_point limit = after_seconds(backend.quiet_since, silence_limit(backend));
+    const time_point limit = after_seconds(backend.quiet_since, silence_timeout(backend));
     if (now > limit && may_eject(services_[service]))
         backend.health.eject(ejection_cause::silence, now);
     else
@@ -821,11 +821,11 @@
 
 // Estimated tasks of other entries at the backend server. The reported number decays as these tasks end.
 template <placement_policy policy>
-double basic_scheduler<policy>::others_now(const service_state& service, const scheduler_backend& backend,
-                                           time_point now) const {
+double basic_scheduler<policy>::estimate_other_load(const service_state& service,
+                                                    const scheduler_backend& backend, time_point now) const {
     if (backend.others == 0)
         return 0;
-    const double half_life = std::max(run_seconds(service, backend), shortest_load_half_life_seconds);
+    const double half_life = std::max(run_seconds(service, backend), min_load_half_life_seconds);
     const double age = std::max(0.0, seconds_between(backend.others_at, now));
     return backend.others * std::exp2(-age / half_life);
 }
@@ -856,13 +856,13 @@
     }
     const double run = run_seconds(state, backend);
     const double places = backend.slots + prefetch_per_agent;
-    const double part = own_part(backend.slots);
+    const double part = own_slots(backend.slots);
     const double spare = std::max(0.0, places - others - part);
-    const double limit = part + (entries_ > 1 ? shared_part * spare : spare);
+    const double limit = part + (entries_ > 1 ? shared_slot_fraction * spare : spare);
     if (own + 1 <= std::min<double>(limit, health.window()))
         return placement_load{backend.slots, own + others, run};
     if (others > 0 && own + 1 <= std::min<double>(places, health.window()))
-        wake_at(service, number, after_seconds(now, std::max(run, shortest_load_half_life_seconds)));
+        wake_at(service, number, after_seconds(now, std::max(run, min_load_half_life_seconds)));
     return std::nullopt;
 }
 
--- a/coordination/scheduler.h
+++ b/coordination/scheduler.h
@@ -123,21 +123,22 @@
     void dequeue(std::uint32_t number);
     void release_if_done(std::uint32_t number);
     void release_held(time_point now);
-    void release_parked(time_point now);
+    void requeue_deferred(time_point now);
 
     void set_team_running(std::uint32_t team, std::uint32_t running);
     std::optional<std::uint32_t> backend_of(const scheduler_agent& agent, std::uint32_t service) const;
     std::uint32_t add_backend(std::uint32_t agent, std::uint32_t service);
-    std::uint32_t own_part(std::uint32_t slots) const;
+    std::uint32_t own_slots(std::uint32_t slots) const;
     double run_seconds(const service_state& service, const scheduler_backend& backend) const;
     void refresh(std::uint32_t service, std::uint32_t number, time_point now);
     void eject_if_silent(std::uint32_t service, std::uint32_t number, time_point now);
-    double others_now(const service_state& service, const scheduler_backend& backend, time_point now) const;
+    double estimate_other_load(const service_state& service, const scheduler_backend& backend,
+                               time_point now) const;
     std::optional<placement_load> offer(std::uint32_t service, std::uint32_t number, double others,
                                         time_point now);
     void refresh_agent(const scheduler_agent& agent, time_point now);
     void update_sums(std::uint32_t service, std::uint32_t number, double others);
-    double silence_limit(const scheduler_backend& backend) const;
+    double silence_timeout(const scheduler_backend& backend) const;
     static bool may_eject(const service_state& service);
     static bool is_ejection_enforced(const service_state& service);
     void wake_at(std::uint32_t service, std::uint32_t number, time_point time);
@@ -175,7 +176,7 @@
     std::size_t waiting_count_ = 0;
     admission_retry_budget retry_budget_;
     // Jobs that cannot end in time at the present rate, with the time of the next check.
-    std::deque<std::pair<job_id, time_point>> parked_jobs_;
+    std::deque<std::pair<job_id, time_point>> deferred_jobs_;
     // Jobs with held tasks, oldest first.
     std::deque<job_id> held_jobs_;
 };
--- a/coordination/scheduler_backend.h
+++ b/coordination/scheduler_backend.h
@@ -42,7 +42,7 @@
     bool is_serving = false;
     bool is_ejected = false;
     double rate = 0;
-    double part_rate = 0;
+    double own_slots_rate = 0;
     double failure_ratio = 0;
 };
 
--- a/coordination/scheduler_service.h
+++ b/coordination/scheduler_service.h
@@ -39,7 +39,7 @@
     // Tasks of typical run time per second that the backend servers can complete for this entry.
     double rate = 0;
     // The same rate with this entry's part of the slots only.
-    double part_rate = 0;
+    double own_slots_rate = 0;
     // Sum of the failure ratios of the backend servers that are not ejected.
     double failure_sum = 0;
     // True if any backend server has ever offered the service.
