--- a/coordination/agent_core.cpp
+++ b/coordination/agent_core.cpp
@@ -13,8 +13,7 @@
     , limits_{limits}
     , started_{now}
     , lease_bound_{now + limits.lease_bound()}
-    , order_trip_{limits.longest_order_timeout, limits.shortest_order_timeout, limits.longest_order_timeout} {
-}
+    , order_round_trip_{limits.max_order_timeout, limits.min_order_timeout, limits.max_order_timeout} {}
 
 void agent_core::note(std::string_view what, const job_id& job,
                       std::vector<std::pair<std::string_view, decision::value>> inputs, bool is_warning) {
@@ -67,7 +66,7 @@
     ends_ = {};
     last_reply_ = {};
     confirmed_end_ = 0;
-    given_up_.clear();
+    abandoned_runs_.clear();
     is_raise_wanted_ = true;
     next_raise_ = now;
 }
@@ -81,14 +80,14 @@
     is_profiled_ = false;
 }
 
-// Ends all runs on the backend server; no list will report their final states. With keeps_doubts, unanswered
-// start orders may still be executed, so their runs are kept.
-void agent_core::lose_backend(run_refusal reason, bool keeps_doubts, time_point now) {
+// Ends all runs on the backend server; no list will report their final states. With keeps_unanswered_starts,
+// unanswered start orders may still be executed, so their runs are kept.
+void agent_core::lose_backend(run_refusal reason, bool keeps_unanswered_starts, time_point now) {
     refuse_queued(reason, now);
     std::vector<run_ref> lost;
     std::vector<run_ref> ended;
     runs_.for_each([&](run_record& record) {
-        if (record.state == run_state::starting && keeps_doubts)
+        if (record.state == run_state::starting && keeps_unanswered_starts)
             record.in_doubt = true;
         else if (holds_room(record.state))
             lost.push_back(record.run);
@@ -96,13 +95,13 @@
             ended.push_back(record.run);
     });
     for (const run_ref& run : lost) {
-        given_up_.insert(run);
+        abandoned_runs_.insert(run);
         end_run(*runs_.find(run), run_state::lapsed, reason, now);
     }
     // Ends of a previous life cannot be acknowledged any more, and they were already reported to the owners.
     for (const run_ref& run : ended)
         runs_.erase(run);
-    is_settled_ = false;
+    is_synchronized_ = false;
     sent_.clear();
     starts_in_flight_ = 0;
     hold_ = 0;
@@ -122,8 +121,8 @@
 
 void agent_core::tick(time_point now) {
     // If no backend server is known, no run of an earlier agent process can outlast the longest lease.
-    if (!are_owners_told_ && backend_.id.empty() && now - started_ >= limits_.lease_bound()) {
-        tell_owners(now);
+    if (!are_inventories_published_ && backend_.id.empty() && now - started_ >= limits_.lease_bound()) {
+        publish_inventories(now);
     }
     check_owners(now);
     check_waits(now);
@@ -136,16 +135,16 @@
 
 time_point agent_core::next_wakeup(time_point now) const {
     time_point next = now + limits_.ping_interval;
-    if (!backend_.id.empty() && hold_ == 0 && is_settled_ && needs_hold())
+    if (!backend_.id.empty() && hold_ == 0 && is_synchronized_ && needs_hold())
         next = std::min(next, next_hold_);
     if (is_raise_wanted_ && raise_ == 0)
         next = std::min(next, next_raise_);
     if (!queue_.empty())
-        next = std::min(next, now + limits_.queue_patience / 4);
+        next = std::min(next, now + limits_.queue_timeout / 4);
     for (const auto& [link, state] : links_) {
-        if (has_news(state, now))
-            next = std::min(next, news_due(state));
-        next = std::min(next, std::max(state.echoed, state.asked) + limits_.ping_interval);
+        if (has_unsent_updates(state, now))
+            next = std::min(next, next_update(state));
+        next = std::min(next, std::max(state.last_echoed, state.last_ping) + limits_.ping_interval);
     }
     if (runs_.active_count() > 0)
         next = std::min(next, now + limits_.hold_wait);
--- a/coordination/agent_core.h
+++ b/coordination/agent_core.h
@@ -71,21 +71,21 @@
         std::vector<std::string> entry_addresses;
         std::uint64_t starts_seen = 0;
         // The free capacity last reported to this entry, and when it was sent.
-        agent_room told;
-        time_point told_at{};
+        agent_room sent_room;
+        time_point room_sent_at{};
         std::vector<run_report> reports;
         // At least one report must not wait for the next message about free capacity.
         bool has_urgent_report = false;
         // The latest clock reading that the entry has echoed, and when the last ping was sent.
-        time_point echoed{};
-        time_point asked{};
+        time_point last_echoed{};
+        time_point last_ping{};
     };
 
     struct owner_state {
         // 0 while the owner is not connected.
         link_number link = 0;
         // Latest time at which the owner is known to have been present.
-        time_point heard{};
+        time_point last_contact{};
     };
 
     struct sent_order {
@@ -107,12 +107,12 @@
     void start_replied(const sent_order& sent, const backend_reply& reply, time_point now);
     void stop_replied(const sent_order& sent, const backend_reply& reply, time_point now);
     void hold_replied(const sent_order& sent, const backend_reply& reply, bool is_raise, time_point now);
-    void take_lists(const sent_order& hold, const backend_reply& reply, time_point now);
-    void take_end(const listed_end& end, time_point now);
-    void take_running(const listed_run& listed, std::int64_t clock_ms, time_point now);
+    void process_lists(const sent_order& hold, const backend_reply& reply, time_point now);
+    void process_end(const listed_end& end, time_point now);
+    void process_running(const listed_run& listed, std::int64_t clock_ms, time_point now);
     bool is_stalled(const run_record& record, const listed_run& listed, std::int64_t clock_ms) const;
-    void resolve_doubts(const sent_order& hold, const std::set<run_ref>& listed, time_point now);
-    void find_vanished(const sent_order& hold, const std::set<run_ref>& listed, time_point now);
+    void resolve_unanswered_starts(const sent_order& hold, const std::set<run_ref>& listed, time_point now);
+    void end_missing_runs(const sent_order& hold, const std::set<run_ref>& listed, time_point now);
 
     // Orders to the backend server.
     std::uint64_t send(std::variant<start_order, stop_order, hold_order> action, milliseconds timeout,
@@ -129,16 +129,16 @@
     bool is_hold_due(time_point now) const;
 
     void begin_life(const std::string& id, std::uint64_t life, time_point now);
-    void lose_backend(run_refusal reason, bool keeps_doubts, time_point now);
-    void settle(time_point now);
-    void tell_owners(time_point now);
+    void lose_backend(run_refusal reason, bool keeps_unanswered_starts, time_point now);
+    void complete_synchronization(time_point now);
+    void publish_inventories(time_point now);
     void offer_orphans(time_point now);
-    void introduce_runs(link_number link, time_point now);
+    void send_inventories(link_number link, time_point now);
     void end_run(run_record& record, run_state state, run_refusal reason, time_point now);
-    void want_stop(run_record& record, run_refusal reason, time_point now);
+    void request_stop(run_record& record, run_refusal reason, time_point now);
     void refuse(const run_ref& run, link_number link, run_refusal reason);
     void refuse_queued(run_refusal reason, time_point now);
-    std::optional<run_refusal> obstacle() const;
+    std::optional<run_refusal> refusal_reason() const;
     bool is_present(const incarnation& owner, bool is_kept, time_point now) const;
     void check_owners(time_point now);
     void check_waits(time_point now);
@@ -147,7 +147,7 @@
     run_report report_of(const run_record& record, time_point now) const;
     void report(const run_record& record, time_point now);
     void add_report(link_state& state, run_report report);
-    void hear(link_number link, const owner_pong& pong);
+    void record_pong(link_number link, const owner_pong& pong);
     void ping(link_number link, time_point now);
     bool is_ping_due(const link_state& state, time_point now) const;
     void send_inventory(link_number link, const incarnation& owner, time_point now);
@@ -155,10 +155,10 @@
     agent_profile profile(time_point now) const;
     resources free_room(time_point now) const;
     agent_room room_for(const link_state& link, time_point now) const;
-    void judge(const run_record& record, time_point now);
+    void record_outcome(const run_record& record, time_point now);
     void flush_reports(time_point now);
-    bool has_news(const link_state& link, time_point now) const;
-    time_point news_due(const link_state& link) const;
+    bool has_unsent_updates(const link_state& link, time_point now) const;
+    time_point next_update(const link_state& link) const;
     void send_reports(link_number link, link_state& state, time_point now);
     bool is_zone_out() const;
 
@@ -180,18 +180,18 @@
     backend_health health_;
     std::uint64_t token_ = 0;
     // All orders with older tokens are fenced and the lists were read, so all running runs are known.
-    bool is_settled_ = false;
+    bool is_synchronized_ = false;
     bool is_silent_ = false;
     // The inventories were sent. From now on owners may conclude that a run that is not listed does not
     // exist.
-    bool are_owners_told_ = false;
+    bool are_inventories_published_ = false;
     bool is_shutting_down_ = false;
     end_acknowledger ends_;
     // Send time of the latest order that this life answered.
     time_point last_reply_{};
     // Highest end number whose acknowledgement the backend server has confirmed.
     std::uint64_t confirmed_end_ = 0;
-    std::set<run_ref> given_up_;
+    std::set<run_ref> abandoned_runs_;
     // Time by which all leases that were requested so far have expired.
     time_point lease_bound_{};
 
@@ -212,7 +212,7 @@
     // Number of consecutive hold orders without an answer.
     unsigned unanswered_holds_ = 0;
     // Round-trip time of orders that are answered without a wait.
-    round_trip_estimate order_trip_;
+    round_trip_estimate order_round_trip_;
 
     std::map<link_number, link_state> links_;
     bool has_new_addresses_ = true;
@@ -222,7 +222,7 @@
     std::set<std::string> zones_out_;
     std::uint64_t zones_version_ = 0;
     time_point last_offer_{};
-    agent_profile told_profile_;
+    agent_profile sent_profile_;
 };
 
 } // namespace persimmonstile
--- a/coordination/agent_directory.cpp
+++ b/coordination/agent_directory.cpp
@@ -34,7 +34,7 @@
     agent.last_reading_ns = 0;
     for (auto& [run, start] : agent.runs)
         start = 0;
-    agent.unseen.clear();
+    agent.unacknowledged_starts.clear();
     links_[link] = agent.number;
     return before == link ? 0 : before;
 }
@@ -46,7 +46,7 @@
         start = 0;
     agent.is_introduced = false;
     agent.is_session_introduced = false;
-    agent.unseen.clear();
+    agent.unacknowledged_starts.clear();
 }
 
 void agent_directory::forget(agent_number number) {
--- a/coordination/agent_limits.h
+++ b/coordination/agent_limits.h
@@ -12,15 +12,15 @@
 // Timeouts, intervals and other limits of an agent.
 struct agent_limits {
     // Longest lease that the backend server grants. Set by the platform.
-    milliseconds longest_lease{1000};
+    milliseconds max_lease{1000};
     // Duration of the lease that the agent requests. It is slightly longer than the maximum because the
     // estimate of the backend server's clock may be behind. The backend server limits it to the maximum.
-    milliseconds asked_lease() const { return longest_lease + milliseconds{20}; }
+    milliseconds requested_lease() const { return max_lease + milliseconds{20}; }
     // Time after which a lease that is requested now has certainly expired. It allows for clock rates that
     // differ by up to 2% and for the time that the order is in flight.
     milliseconds lease_bound() const {
         constexpr milliseconds margin{30};
-        return asked_lease() + asked_lease() / 50 + margin;
+        return requested_lease() + requested_lease() / 50 + margin;
     }
     // Callers that lost their connection send their jobs again after this time. Set by the platform.
     milliseconds caller_resend = usual_caller_resend;
@@ -30,31 +30,31 @@
     // Bounds of the timeout of an order. The timeout is estimated from past answers: a backend server on the
     // same machine answers within a millisecond, but a slow agent reads the answer much later. A timeout that
     // was too short costs one more order, which raises the fencing token.
-    milliseconds shortest_order_timeout{15};
-    milliseconds longest_order_timeout{60};
+    milliseconds min_order_timeout{15};
+    milliseconds max_order_timeout{60};
     // A backend server counts as unresponsive if it has answered no order sent within this time. Two
     // unanswered orders alone prove nothing where orders are lost.
-    milliseconds silence_limit{200};
+    milliseconds silence_timeout{200};
     // Ends are acknowledged only if the backend server answered an order sent within this time. A backend
     // server that has restarted since would apply the numbers to its own ends, and a restart takes longer
     // than this.
     milliseconds acknowledgement_age{400};
     // Retry delay for a backend server that does not answer.
-    milliseconds retry_pause{100};
+    milliseconds retry_delay{100};
     // Maximum number of start orders in flight. Each needs a connection.
-    std::size_t parallel_starts = 8;
+    std::size_t max_starts_in_flight = 8;
     // A run that is queued for longer than this is returned to its owner, which may find another agent for
     // it. The shortest jobs have about 50 ms to spare, and moving the run to another agent takes part of
     // that.
-    milliseconds queue_patience{30};
+    milliseconds queue_timeout{30};
     // Minimum time between two messages to one entry that report only free capacity or started runs. With
     // more frequent messages all entries would compete for every slot that becomes free. The time grows with
     // the number of entries, or an agent with many entries would spend more time on messages than on its
     // runs.
-    milliseconds shortest_room_interval{60};
+    milliseconds min_room_interval{60};
     milliseconds room_interval_per_entry{10};
     milliseconds room_interval(std::size_t entries) const {
-        return std::max(shortest_room_interval, room_interval_per_entry * static_cast<std::int64_t>(entries));
+        return std::max(min_room_interval, room_interval_per_entry * static_cast<std::int64_t>(entries));
     }
     // The agent pings an entry that has echoed no clock reading for this time.
     milliseconds ping_interval{300};
@@ -63,21 +63,21 @@
     milliseconds offer_interval{1000};
     // If the owner of an ended run has been unreachable for this time, the end is offered to all entries. The
     // owner's successor may never have connected to this agent.
-    milliseconds owner_patience{6000};
+    milliseconds owner_absence_timeout{6000};
     // A task counts as stalled after a quarter of its expected run time without progress. Progress is
     // reported in percent, and a slow backend server may take several times as long as expected. The minimum
     // allows for two waits for a list; the maximum limits the effect of a wrong expectation.
-    milliseconds shortest_stall{100};
-    milliseconds longest_stall{400};
-    milliseconds stall_limit(milliseconds expected) const {
-        return expected.count() == 0 ? longest_stall
-                                     : std::clamp(expected / 4, shortest_stall, longest_stall);
+    milliseconds min_stall_timeout{100};
+    milliseconds max_stall_timeout{400};
+    milliseconds stall_timeout(milliseconds expected) const {
+        return expected.count() == 0 ? max_stall_timeout
+                                     : std::clamp(expected / 4, min_stall_timeout, max_stall_timeout);
     }
     // A backend server that was suspect is offered its capacity divided by this until a run succeeds.
     static constexpr std::int64_t probation_divisor = 8;
     // Delay before the next list is requested after one that arrived early and showed no new end. Without it,
     // ends that are not yet recorded would make the agent request lists in a busy loop.
-    milliseconds list_pause{10};
+    milliseconds min_list_interval{10};
 };
 
 } // namespace persimmonstile
--- a/coordination/agent_links.cpp
+++ b/coordination/agent_links.cpp
@@ -21,13 +21,13 @@
 }
 
 void agent_core::ping(link_number link, time_point now) {
-    links_[link].asked = now;
+    links_[link].last_ping = now;
     output_.messages.emplace_back(link, view_ping{now.time_since_epoch().count()});
 }
 
 // Busy entries echo the clock readings of other messages, so only idle ones need pings.
 bool agent_core::is_ping_due(const link_state& state, time_point now) const {
-    return now - std::max(state.echoed, state.asked) >= limits_.ping_interval;
+    return now - std::max(state.last_echoed, state.last_ping) >= limits_.ping_interval;
 }
 
 void agent_core::link_closed(link_number link, time_point) {
@@ -70,34 +70,34 @@
     }
     // The session counts as present once its first pong has arrived.
     ping(link, now);
-    if (are_owners_told_)
-        introduce_runs(link, now);
+    if (are_inventories_published_)
+        send_inventories(link, now);
 }
 
 void agent_core::receive(link_number link, const owner_pong& pong, time_point) {
-    hear(link, pong);
+    record_pong(link, pong);
 }
 
-void agent_core::hear(link_number link, const owner_pong& pong) {
+void agent_core::record_pong(link_number link, const owner_pong& pong) {
     if (pong.sent_ns == 0)
         return;
     link_state& state = links_[link];
     const time_point sent{std::chrono::nanoseconds{pong.sent_ns}};
-    state.echoed = std::max(state.echoed, sent);
-    const auto hear = [&](const incarnation& owner) {
+    state.last_echoed = std::max(state.last_echoed, sent);
+    const auto record_pong = [&](const incarnation& owner) {
         if (owner.name.empty())
             return;
-        owners_[owner].heard = std::max(owners_[owner].heard, sent);
+        owners_[owner].last_contact = std::max(owners_[owner].last_contact, sent);
     };
-    hear(state.process);
+    record_pong(state.process);
     if (pong.is_session_certain)
-        hear(state.session);
+        record_pong(state.session);
 }
 
 void agent_core::receive(link_number link, const start_runs& message, time_point now) {
     ++links_[link].starts_seen;
-    hear(link, message.pong);
-    std::optional<run_refusal> refusal = obstacle();
+    record_pong(link, message.pong);
+    std::optional<run_refusal> refusal = refusal_reason();
     if (deposed_.contains(message.owner))
         refusal = run_refusal::owner_deposed;
     else if (!is_present(message.owner, message.is_kept, now))
@@ -140,7 +140,7 @@
         else if (is_final(record->state))
             report(*record, now);
         else
-            want_stop(*record, run_refusal::withdrawn, now);
+            request_stop(*record, run_refusal::withdrawn, now);
     }
 }
 
@@ -178,7 +178,7 @@
     // Before the backend server's lists are read, an inventory would make the successor treat running runs as
     // not started. Runs without an owner are sent first: the successor may not have known their jobs when
     // they were last offered.
-    if (!are_owners_told_)
+    if (!are_inventories_published_)
         return;
     send_inventory(link, {}, now);
     output_.messages.emplace_back(link, std::move(inventory));
@@ -224,7 +224,7 @@
 
 void agent_core::report(const run_record& record, time_point now) {
     if (record.owner.name.empty()) {
-        if (are_owners_told_) {
+        if (are_inventories_published_) {
             for (auto& [link, state] : links_)
                 send_inventory(link, {}, now);
         }
@@ -248,7 +248,7 @@
 }
 
 void agent_core::offer_orphans(time_point now) {
-    if (!are_owners_told_ || now - last_offer_ < limits_.offer_interval)
+    if (!are_inventories_published_ || now - last_offer_ < limits_.offer_interval)
         return;
     last_offer_ = now;
     for (const auto& [link, state] : links_) {
@@ -295,18 +295,18 @@
     profile.agent = self_;
     profile.zone = zone_;
     profile.backend = backend_;
-    profile.accepts_runs = !obstacle();
+    profile.accepts_runs = !refusal_reason();
     profile.is_suspect = health_.is_avoided(now);
     profile.room = {free_room(now), runs_.queued(), 0};
     return profile;
 }
 
 void agent_core::send_profile_if_changed(time_point now) {
-    if (told_profile_.accepts_runs == !obstacle() && told_profile_.is_suspect == health_.is_avoided(now) &&
-        told_profile_.backend == backend_)
+    if (sent_profile_.accepts_runs == !refusal_reason() &&
+        sent_profile_.is_suspect == health_.is_avoided(now) && sent_profile_.backend == backend_)
         return;
     agent_profile current = profile(now);
-    told_profile_ = current;
+    sent_profile_ = current;
     for (const auto& [link, state] : links_) {
         current.room.starts_seen = state.starts_seen;
         output_.messages.emplace_back(link, current);
@@ -315,17 +315,17 @@
 
 void agent_core::flush_reports(time_point now) {
     for (auto& [link, state] : links_) {
-        if (state.has_urgent_report || (has_news(state, now) && now >= news_due(state)))
+        if (state.has_urgent_report || (has_unsent_updates(state, now) && now >= next_update(state)))
             send_reports(link, state, now);
     }
 }
 
-bool agent_core::has_news(const link_state& link, time_point now) const {
-    return !link.reports.empty() || !(room_for(link, now) == link.told);
+bool agent_core::has_unsent_updates(const link_state& link, time_point now) const {
+    return !link.reports.empty() || !(room_for(link, now) == link.sent_room);
 }
 
-time_point agent_core::news_due(const link_state& link) const {
-    return link.told_at + limits_.room_interval(links_.size());
+time_point agent_core::next_update(const link_state& link) const {
+    return link.room_sent_at + limits_.room_interval(links_.size());
 }
 
 void agent_core::send_reports(link_number link, link_state& state, time_point now) {
@@ -334,8 +334,8 @@
     state.has_urgent_report = false;
     message.room = room_for(state, now);
     message.sent_ns = now.time_since_epoch().count();
-    state.told = message.room;
-    state.told_at = now;
+    state.sent_room = message.room;
+    state.room_sent_at = now;
     output_.messages.emplace_back(link, std::move(message));
 }
 
--- a/coordination/agent_orders.cpp
+++ b/coordination/agent_orders.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint64_t token_step = 1000;
 
 // Maximum number of ends in one list of a backend server. Further ends are listed after an acknowledgement.
-constexpr std::size_t longest_end_list = 500;
+constexpr std::size_t max_listed_ends = 500;
 
 } // namespace
 
@@ -25,7 +25,7 @@
     const auto* hold = std::get_if<hold_order>(&action);
     const bool has_lease = std::holds_alternative<start_order>(action) || (hold != nullptr && hold->renews);
     if (has_lease) {
-        order.lease_until_ms = clock_.at(now) + limits_.asked_lease().count();
+        order.lease_until_ms = clock_.at(now) + limits_.requested_lease().count();
         lease_bound_ = std::max(lease_bound_, now + limits_.lease_bound());
     }
     order.action = std::move(action);
@@ -34,8 +34,8 @@
     return last_order_;
 }
 
-std::optional<run_refusal> agent_core::obstacle() const {
-    if (!is_profiled_ || !is_settled_ || is_silent_)
+std::optional<run_refusal> agent_core::refusal_reason() const {
+    if (!is_profiled_ || !is_synchronized_ || is_silent_)
         return run_refusal::no_backend;
     if (backend_.draining || is_shutting_down_)
         return run_refusal::draining;
@@ -59,7 +59,7 @@
 }
 
 void agent_core::start_queued(time_point now) {
-    if (queue_.empty() || obstacle() || has_unclaimed_runs())
+    if (queue_.empty() || refusal_reason() || has_unclaimed_runs())
         return;
     std::deque<run_ref> waiting;
     waiting.swap(queue_);
@@ -68,7 +68,7 @@
         if (record == nullptr || record->state != run_state::queued)
             continue;
         const bool fits = record->needs.fits_in(backend_.capacity - runs_.held());
-        if (!fits || starts_in_flight_ >= limits_.parallel_starts)
+        if (!fits || starts_in_flight_ >= limits_.max_starts_in_flight)
             queue_.push_back(run);
         else if (!is_present(record->owner, record->is_kept, now) || now >= record->expires)
             end_run(*record, run_state::refused, run_refusal::owner_silent, now);
@@ -83,18 +83,18 @@
     record.ordered = now;
     record.order_token = token_;
     ++starts_in_flight_;
-    send(start_order{record.run, *record.payload, record.checkpoint}, order_trip_.timeout(), now);
+    send(start_order{record.run, *record.payload, record.checkpoint}, order_round_trip_.timeout(), now);
 }
 
 void agent_core::order_stop(run_record& record, time_point now) {
     record.stop_ordered = true;
-    send(stop_order{record.run}, order_trip_.timeout(), now);
+    send(stop_order{record.run}, order_round_trip_.timeout(), now);
 }
 
 // A few lost answers must not let the lease expire, but the lease of an unresponsive backend server must
 // expire.
 bool agent_core::renews_lease(time_point now) const {
-    return unanswered_holds_ <= 1 || now - last_reply_ < limits_.silence_limit;
+    return unanswered_holds_ <= 1 || now - last_reply_ < limits_.silence_timeout;
 }
 
 bool agent_core::needs_hold() const {
@@ -103,7 +103,7 @@
 }
 
 bool agent_core::is_hold_due(time_point now) const {
-    return !backend_.id.empty() && is_settled_ && hold_ == 0 && needs_hold() && now >= next_hold_;
+    return !backend_.id.empty() && is_synchronized_ && hold_ == 0 && needs_hold() && now >= next_hold_;
 }
 
 std::uint64_t agent_core::end_to_acknowledge(time_point now) const {
@@ -115,7 +115,7 @@
     hold.acknowledged_end = end_to_acknowledge(now);
     hold.wait = is_silent_ ? milliseconds{0} : limits_.hold_wait;
     hold.renews = renews_lease(now);
-    const milliseconds timeout = hold.wait + order_trip_.timeout();
+    const milliseconds timeout = hold.wait + order_round_trip_.timeout();
     hold_ = send(hold, timeout, now);
 }
 
@@ -126,7 +126,7 @@
     hold_order hold;
     hold.acknowledged_end = end_to_acknowledge(now);
     hold.renews = renews_lease(now);
-    raise_ = send(hold, order_trip_.timeout(), now);
+    raise_ = send(hold, order_round_trip_.timeout(), now);
 }
 
 void agent_core::replied(const backend_reply& reply, time_point now) {
@@ -161,9 +161,9 @@
     const auto* hold = std::get_if<hold_order>(&sent.order.action);
     if (hold == nullptr || hold->wait.count() == 0) {
         if (reply.verdict == backend_verdict::no_answer)
-            order_trip_.missing();
+            order_round_trip_.missing();
         else if (reply.verdict != backend_verdict::not_sent)
-            order_trip_.answered(now - sent.sent);
+            order_round_trip_.answered(now - sent.sent);
     }
     if (std::holds_alternative<start_order>(sent.order.action))
         start_replied(sent, reply, now);
@@ -246,7 +246,7 @@
         unanswered_holds_ = 0;
         const bool is_new = !reply.ended.empty() && reply.ended.back().number > last_listed_end_;
         const bool is_early = now - sent.sent < std::get<hold_order>(sent.order.action).wait / 2;
-        next_hold_ = is_early && !is_new ? now + limits_.list_pause : now;
+        next_hold_ = is_early && !is_new ? now + limits_.min_list_interval : now;
         if (!reply.ended.empty())
             last_listed_end_ = std::max(last_listed_end_, reply.ended.back().number);
         confirmed_end_ = std::max(confirmed_end_, std::get<hold_order>(sent.order.action).acknowledged_end);
@@ -254,7 +254,7 @@
             is_silent_ = false;
             note("backend server answers again", {}, {{"backend", backend_.id}});
         }
-        take_lists(sent, reply, now);
+        process_lists(sent, reply, now);
         return;
     }
     if (reply.verdict == backend_verdict::fenced && sent.order.fencing_token == token_) {
@@ -271,7 +271,7 @@
     ++unanswered_holds_;
     milliseconds pause{0};
     if (unanswered_holds_ > 1)
-        pause = renews_lease(now) ? limits_.shortest_order_timeout : limits_.retry_pause;
+        pause = renews_lease(now) ? limits_.min_order_timeout : limits_.retry_delay;
     next_hold_ = now + pause;
     if (is_raise) {
         is_raise_wanted_ = true;
@@ -284,30 +284,30 @@
     }
 }
 
-void agent_core::take_lists(const sent_order& hold, const backend_reply& reply, time_point now) {
+void agent_core::process_lists(const sent_order& hold, const backend_reply& reply, time_point now) {
     std::set<run_ref> listed;
     for (const listed_end& end : reply.ended) {
         listed.insert(end.run);
-        take_end(end, now);
+        process_end(end, now);
     }
     for (const listed_run& run : reply.running) {
         listed.insert(run.run);
-        take_running(run, reply.clock_ms, now);
+        process_running(run, reply.clock_ms, now);
     }
-    if (!is_settled_ && hold.order.fencing_token == token_)
-        settle(now);
-    resolve_doubts(hold, listed, now);
-    if (reply.ended.size() < longest_end_list)
-        find_vanished(hold, listed, now);
+    if (!is_synchronized_ && hold.order.fencing_token == token_)
+        complete_synchronization(now);
+    resolve_unanswered_starts(hold, listed, now);
+    if (reply.ended.size() < max_listed_ends)
+        end_missing_runs(hold, listed, now);
 }
 
-void agent_core::take_end(const listed_end& end, time_point now) {
+void agent_core::process_end(const listed_end& end, time_point now) {
     ends_.listed(end.number);
     if (ends_.is_recorded(end.number))
         return;
     // The agent has already reported this run as ended because its lease had expired, so the end has no
     // effect.
-    if (given_up_.contains(end.run)) {
+    if (abandoned_runs_.contains(end.run)) {
         ends_.recorded(end.number);
         return;
     }
@@ -327,7 +327,7 @@
     end_run(*record, end.how, record->reason, now);
 }
 
-void agent_core::take_running(const listed_run& listed, std::int64_t clock_ms, time_point now) {
+void agent_core::process_running(const listed_run& listed, std::int64_t clock_ms, time_point now) {
     run_record* record = runs_.find(listed.run);
     if (record == nullptr) {
         note("found a run at the backend server", listed.run.task.job,
@@ -340,7 +340,7 @@
         found.percent = listed.percent;
         found.checkpoint = listed.checkpoint;
         // A run that was given up has no owner that could claim it.
-        found.stop_wanted = given_up_.contains(listed.run);
+        found.stop_wanted = abandoned_runs_.contains(listed.run);
         record = &runs_.add(std::move(found));
         return;
     }
@@ -365,19 +365,20 @@
               {"percent", record->percent},
               {"for_ms", clock_ms - record->progressed_ms}},
              true);
-        want_stop(*record, run_refusal::stalled, now);
+        request_stop(*record, run_refusal::stalled, now);
     }
 }
 
 // Uses the clock of the backend server, because lists may arrive late.
 bool agent_core::is_stalled(const run_record& record, const listed_run& listed, std::int64_t clock_ms) const {
     return record.state == run_state::running && !record.stop_wanted && listed.percent <= record.percent &&
-           clock_ms - record.progressed_ms >= limits_.stall_limit(record.expected).count();
+           clock_ms - record.progressed_ms >= limits_.stall_timeout(record.expected).count();
 }
 
 // An unanswered start order with a lower token whose run is in neither list was not executed and never will
 // be.
-void agent_core::resolve_doubts(const sent_order& hold, const std::set<run_ref>& listed, time_point now) {
+void agent_core::resolve_unanswered_starts(const sent_order& hold, const std::set<run_ref>& listed,
+                                           time_point now) {
     std::vector<run_ref> resolved;
     runs_.for_each([&](run_record& record) {
         if (record.state == run_state::starting && record.in_doubt &&
@@ -402,7 +403,7 @@
 
 // Ends runs that were confirmed before the lists were requested and are in neither list. The backend server
 // has lost its record of them.
-void agent_core::find_vanished(const sent_order& hold, const std::set<run_ref>& listed, time_point now) {
+void agent_core::end_missing_runs(const sent_order& hold, const std::set<run_ref>& listed, time_point now) {
     std::vector<run_ref> vanished;
     runs_.for_each([&](run_record& record) {
         if (record.state == run_state::running && record.started < hold.sent && !listed.contains(record.run))
@@ -416,25 +417,25 @@
 }
 
 // From now on the agent knows all running runs, so the owners may rely on its inventories.
-void agent_core::settle(time_point now) {
-    is_settled_ = true;
+void agent_core::complete_synchronization(time_point now) {
+    is_synchronized_ = true;
     next_hold_ = now;
     note("backend server is settled", {},
          {{"backend", backend_.id},
           {"token", static_cast<std::int64_t>(token_)},
           {"runs", static_cast<std::int64_t>(runs_.size())}});
-    if (!are_owners_told_)
-        tell_owners(now);
+    if (!are_inventories_published_)
+        publish_inventories(now);
 }
 
-void agent_core::tell_owners(time_point now) {
-    are_owners_told_ = true;
+void agent_core::publish_inventories(time_point now) {
+    are_inventories_published_ = true;
     for (const auto& [link, state] : links_)
-        introduce_runs(link, now);
+        send_inventories(link, now);
 }
 
 // Sends all inventories that concern the entry at the other end of the link.
-void agent_core::introduce_runs(link_number link, time_point now) {
+void agent_core::send_inventories(link_number link, time_point now) {
     const link_state& state = links_[link];
     if (state.process.name.empty())
         return;
--- a/coordination/agent_runs.cpp
+++ b/coordination/agent_runs.cpp
@@ -11,7 +11,7 @@
     record.reason = reason;
     record.ended = now;
     output_.ends.push_back(state);
-    judge(record, now);
+    record_outcome(record, now);
     report(record, now);
     // A listed end is kept until its owner has recorded it. Ends of claimed runs that are not kept are not
     // recorded.
@@ -25,7 +25,7 @@
 
 // A task that has failed before may itself be faulty, so only the failure of its first run counts against the
 // backend server.
-void agent_core::judge(const run_record& record, time_point now) {
+void agent_core::record_outcome(const run_record& record, time_point now) {
     if (record.state == run_state::done) {
         health_.succeeded();
         return;
@@ -40,7 +40,7 @@
     note("backend server is suspect", {}, {{"backend", backend_.id}, {"for_ms", pause.count()}}, true);
 }
 
-void agent_core::want_stop(run_record& record, run_refusal reason, time_point now) {
+void agent_core::request_stop(run_record& record, run_refusal reason, time_point now) {
     if (is_final(record.state) || record.stop_wanted)
         return;
     record.stop_wanted = true;
@@ -71,7 +71,7 @@
 bool agent_core::is_present(const incarnation& owner, bool is_kept, time_point now) const {
     const auto found = owners_.find(owner);
     return found != owners_.end() &&
-           now < found->second.heard +
+           now < found->second.last_contact +
                      (is_kept ? owner_contact_lease : caller_contact_lease(limits_.caller_resend));
 }
 
@@ -81,7 +81,7 @@
     std::vector<run_ref> abandoned;
     runs_.for_each([&](run_record& record) {
         if (is_final(record.state) && !record.owner.name.empty() &&
-            now >= std::max(record.ended, owners_[record.owner].heard) + limits_.owner_patience)
+            now >= std::max(record.ended, owners_[record.owner].last_contact) + limits_.owner_absence_timeout)
             record.owner = {};
         if (is_final(record.state) || record.stop_wanted)
             return;
@@ -95,7 +95,7 @@
     for (const run_ref& run : abandoned) {
         note("ending a run whose owner is away or whose caller has left", run.task.job,
              {{"run", static_cast<std::int64_t>(run.run)}}, true);
-        want_stop(*runs_.find(run), run_refusal::owner_silent, now);
+        request_stop(*runs_.find(run), run_refusal::owner_silent, now);
     }
     runs_.for_each([&](run_record& record) {
         if (record.stop_wanted && !record.stop_ordered && record.state == run_state::running)
@@ -113,18 +113,18 @@
         for (const run_ref& run : lapsed) {
             note("lease ran out at a silent backend server", run.task.job,
                  {{"run", static_cast<std::int64_t>(run.run)}}, true);
-            given_up_.insert(run);
+            abandoned_runs_.insert(run);
             end_run(*runs_.find(run), run_state::lapsed, run_refusal::no_backend, now);
         }
     }
-    std::vector<run_ref> impatient;
+    std::vector<run_ref> timed_out;
     for (const run_ref& run : queue_) {
         const run_record* record = runs_.find(run);
         if (record != nullptr && record->state == run_state::queued &&
-            now - record->accepted >= limits_.queue_patience)
-            impatient.push_back(run);
+            now - record->accepted >= limits_.queue_timeout)
+            timed_out.push_back(run);
     }
-    for (const run_ref& run : impatient)
+    for (const run_ref& run : timed_out)
         end_run(*runs_.find(run), run_state::refused, run_refusal::no_room, now);
 }
 
--- a/coordination/agent_view.h
+++ b/coordination/agent_view.h
@@ -36,7 +36,7 @@
     // Number of start messages sent on this connection, and the resource needs of those that `room` does not
     // include yet.
     std::uint64_t starts_sent = 0;
-    std::deque<std::pair<std::uint64_t, resources>> unseen;
+    std::deque<std::pair<std::uint64_t, resources>> unacknowledged_starts;
     // Runs that this entry sent to the agent and that have not ended, each with the number of its start
     // message on this connection. The number is 0 for runs of an earlier connection.
     std::map<run_ref, std::uint64_t> runs;
@@ -53,7 +53,7 @@
     // Capacity that remains after all runs that were sent to the agent.
     resources free() const {
         resources left = room.free - room.queued;
-        for (const auto& [number_sent, needs] : unseen)
+        for (const auto& [number_sent, needs] : unacknowledged_starts)
             left -= needs;
         return left;
     }
--- a/coordination/backend_health.cpp
+++ b/coordination/backend_health.cpp
@@ -8,11 +8,11 @@
 
 // Number of consecutive failed jobs after which a backend server is avoided. On a healthy one 2 of 1,000 runs
 // fail, so two in a row are unlikely to be chance.
-constexpr std::uint32_t most_failures = 2;
+constexpr std::uint32_t failure_threshold = 2;
 
 // The first pause is short because most faults last for seconds. It doubles while the fault persists.
-constexpr milliseconds first_pause{1000};
-constexpr milliseconds longest_pause{8000};
+constexpr milliseconds initial_pause{1000};
+constexpr milliseconds max_pause{8000};
 
 } // namespace
 
@@ -25,12 +25,12 @@
     if (job != last_failed_)
         ++failures_in_a_row_;
     last_failed_ = job;
-    if (failures_in_a_row_ < most_failures || is_avoided(now))
+    if (failures_in_a_row_ < failure_threshold || is_avoided(now))
         return false;
-    pause_ = std::clamp(pause_ * 2, first_pause, longest_pause);
+    pause_ = std::clamp(pause_ * 2, initial_pause, max_pause);
     avoided_until_ = now + pause_;
     // After the pause a single failure starts the next one.
-    failures_in_a_row_ = most_failures - 1;
+    failures_in_a_row_ = failure_threshold - 1;
     return true;
 }
 
--- a/coordination/call_pacer.cpp
+++ b/coordination/call_rate_limiter.cpp
@@ -1,4 +1,4 @@
-#include "coordination/call_pacer.h"
+#include "coordination/call_rate_limiter.h"
 
 #include <algorithm>
 
@@ -13,12 +13,12 @@
 
 } // namespace
 
-call_pacer::call_pacer(call_pacer_settings settings, std::uint64_t seed)
+call_rate_limiter::call_rate_limiter(call_rate_limiter_settings settings, std::uint64_t seed)
     : settings_{settings}
     , random_{seed}
     , tokens_{settings.burst} {}
 
-boot_clock::duration call_pacer::reserve(time_point now) {
+boot_clock::duration call_rate_limiter::reserve(time_point now) {
     const double earned = fractional_seconds{now - refilled_}.count() * settings_.calls_per_second;
     tokens_ = std::min(settings_.burst, tokens_ + std::max(0.0, earned));
     refilled_ = now;
@@ -28,13 +28,13 @@
     return std::max(backoff, std::chrono::duration_cast<boot_clock::duration>(debt));
 }
 
-void call_pacer::record_success() {
+void call_rate_limiter::record_success() {
     failures_ = 0;
     not_before_ = {};
 }
 
-void call_pacer::record_failure(time_point now) {
-    const auto doubled = settings_.first_backoff * (1U << std::min(failures_, maximum_doublings));
+void call_rate_limiter::record_failure(time_point now) {
+    const auto doubled = settings_.initial_backoff * (1U << std::min(failures_, maximum_doublings));
     const auto bound = std::min<milliseconds>(doubled, settings_.maximum_backoff);
     ++failures_;
     // At least half of the bound, so that a series of small random numbers does not cancel the backoff.
--- a/coordination/call_pacer.h
+++ b/coordination/call_rate_limiter.h
@@ -8,22 +8,22 @@
 namespace persimmonstile {
 
 // Rate limit and backoff of the calls that one process makes to the store.
-struct call_pacer_settings {
+struct call_rate_limiter_settings {
     // 200 entries and commands at this rate stay within the store's 2,000 reads/s.
     double calls_per_second = 10;
     // Number of calls that may be made at once after an idle period.
     double burst = 20;
     // Delay after the first failure. It doubles with each further failure up to the maximum.
-    milliseconds first_backoff{50};
+    milliseconds initial_backoff{50};
     milliseconds maximum_backoff{2000};
 };
 
 // Decides how long a caller waits before its next call: a token bucket limits the rate, and failures add an
 // exponential backoff. The backoff has jitter, because all clients would otherwise call a recovered store at
 // the same moment. Not thread-safe.
-class call_pacer {
+class call_rate_limiter {
 public:
-    call_pacer(call_pacer_settings settings, std::uint64_t seed);
+    call_rate_limiter(call_rate_limiter_settings settings, std::uint64_t seed);
 
     // Takes a slot for one call and returns how long to wait before making it.
     boot_clock::duration reserve(time_point now);
@@ -32,7 +32,7 @@
     void record_failure(time_point now);
 
 private:
-    call_pacer_settings settings_;
+    call_rate_limiter_settings settings_;
     std::mt19937_64 random_;
     double tokens_;
     time_point refilled_{};
--- a/coordination/ejection.cpp
+++ b/coordination/ejection.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 // Maximum probability that the consecutive failures behind an ejection are chance.
-constexpr double chance_limit = 1e-3;
-constexpr std::uint32_t fewest_failures = 3;
-constexpr std::uint32_t most_failures = 20;
+constexpr double max_chance = 1e-3;
+constexpr std::uint32_t min_failures = 3;
+constexpr std::uint32_t max_failures = 20;
 
 // Number of consecutive failures after which the window is reset to one task.
 constexpr std::uint32_t failures_to_restart = 2;
@@ -22,16 +22,16 @@
 // A probe is a caller's task and is lost if the backend server is still defective, so the backoff grows
 // quickly. An unresponsive backend server costs the caller the whole deadline, so its first probe is sent
 // later.
-constexpr std::chrono::seconds first_backoff{1};
-constexpr std::chrono::seconds first_backoff_after_silence{5};
-constexpr std::chrono::seconds longest_backoff{60};
+constexpr std::chrono::seconds initial_backoff{1};
+constexpr std::chrono::seconds initial_backoff_after_silence{5};
+constexpr std::chrono::seconds max_backoff{60};
 
 // Number of successes since the last ejection after which the backoff is reset.
 constexpr std::uint32_t successes_to_forget = 50;
 
 // Pause after a refusal. It doubles with each refusal until a task succeeds.
-constexpr std::chrono::milliseconds first_pause{5};
-constexpr std::chrono::milliseconds longest_pause{1000};
+constexpr std::chrono::milliseconds initial_pause{5};
+constexpr std::chrono::milliseconds max_pause{1000};
 
 // Interval at which the ceiling is raised, in steps that double until the next refusal. With 8 slots and
 // tasks of 200 ms this causes one refusal in 80 tasks of the backend server.
@@ -58,8 +58,8 @@
         ceiling_raised_ = now;
     }
     // A larger window has no effect because the slots limit the load, and the window must not overflow.
-    constexpr std::uint32_t largest_window = 1U << 20;
-    window_ = std::min({window_ + 1, ceiling_, largest_window});
+    constexpr std::uint32_t max_window = 1U << 20;
+    window_ = std::min({window_ + 1, ceiling_, max_window});
 }
 
 void ejection::failed(bool same_job) {
@@ -84,14 +84,14 @@
     // Refusals of the same batch count once.
     if (now < paused_until_)
         return;
-    pause_ = std::clamp<std::chrono::nanoseconds>(2 * pause_, first_pause, longest_pause);
+    pause_ = std::clamp<std::chrono::nanoseconds>(2 * pause_, initial_pause, max_pause);
     paused_until_ = now + pause_;
 }
 
 bool ejection::fails_everything(double usual_ratio) const {
     const double ratio = std::clamp(usual_ratio, 0.01, 0.9);
-    const double needed = std::ceil(std::log(chance_limit) / std::log(ratio));
-    const auto limit = std::clamp(static_cast<std::uint32_t>(needed), fewest_failures, most_failures);
+    const double needed = std::ceil(std::log(max_chance) / std::log(ratio));
+    const auto limit = std::clamp(static_cast<std::uint32_t>(needed), min_failures, max_failures);
     return consecutive_failures_ >= limit;
 }
 
@@ -109,8 +109,8 @@
 }
 
 void ejection::lengthen_backoff() {
-    const auto first = cause_ == ejection_cause::silence ? first_backoff_after_silence : first_backoff;
-    backoff_ = std::clamp<std::chrono::nanoseconds>(2 * backoff_, first, longest_backoff);
+    const auto first = cause_ == ejection_cause::silence ? initial_backoff_after_silence : initial_backoff;
+    backoff_ = std::clamp<std::chrono::nanoseconds>(2 * backoff_, first, max_backoff);
 }
 
 void ejection::readmit(std::uint32_t window) {
--- a/coordination/entry_agents.cpp
+++ b/coordination/entry_agents.cpp
@@ -80,8 +80,9 @@
 
 void entry_core::take_room(agent_view& agent, const agent_room& room) {
     agent.room = room;
-    while (!agent.unseen.empty() && agent.unseen.front().first <= room.starts_seen)
-        agent.unseen.pop_front();
+    while (!agent.unacknowledged_starts.empty() &&
+           agent.unacknowledged_starts.front().first <= room.starts_seen)
+        agent.unacknowledged_starts.pop_front();
     is_plan_needed_ = true;
 }
 
--- a/coordination/entry_jobs.cpp
+++ b/coordination/entry_jobs.cpp
@@ -223,7 +223,7 @@
         resources needs;
         for (const run_start& start : message.runs)
             needs += start.needs;
-        agent.unseen.emplace_back(++agent.starts_sent, needs);
+        agent.unacknowledged_starts.emplace_back(++agent.starts_sent, needs);
         for (const run_start& start : message.runs)
             agent.runs[{{job.id, start.occurrence, start.step, start.index}, start.run}] = agent.starts_sent;
         note("placed tasks", job.id,
--- a/coordination/round_trip_estimate.h
+++ b/coordination/round_trip_estimate.h
@@ -12,11 +12,11 @@
 class round_trip_estimate {
 public:
     round_trip_estimate(milliseconds first, milliseconds shortest, milliseconds longest)
-        : shortest_{shortest}
-        , longest_{longest}
+        : min_timeout_{shortest}
+        , max_timeout_{longest}
         , timeout_{first} {}
 
-    milliseconds timeout() const { return std::clamp(timeout_, shortest_, longest_); }
+    milliseconds timeout() const { return std::clamp(timeout_, min_timeout_, max_timeout_); }
 
     void answered(std::chrono::nanoseconds elapsed) {
         const double sample = std::chrono::duration<double, std::milli>{elapsed}.count();
@@ -32,11 +32,11 @@
             std::chrono::duration<double, std::milli>{mean_ + 4 * deviation_});
     }
 
-    void missing() { timeout_ = std::min(timeout() * 2, longest_); }
+    void missing() { timeout_ = std::min(timeout() * 2, max_timeout_); }
 
 private:
-    milliseconds shortest_;
-    milliseconds longest_;
+    milliseconds min_timeout_;
+    milliseconds max_timeout_;
     milliseconds timeout_;
     double mean_ = 0;
     double deviation_ = 0;
--- a/coordination/speed_estimate.cpp
+++ b/coordination/speed_estimate.cpp
@@ -25,10 +25,10 @@
 constexpr std::uint32_t samples_after_change = 2;
 
 // Lower bound for the logarithm; smaller values are below the resolution of the reports.
-constexpr double smallest_value = 1e-6;
+constexpr double min_value = 1e-6;
 
 double log_of(double value) {
-    return std::log(std::max(value, smallest_value));
+    return std::log(std::max(value, min_value));
 }
 
 } // namespace
--- a/tests/agent_core_test.cpp
+++ b/tests/agent_core_test.cpp
@@ -563,7 +563,7 @@
     ASSERT_TRUE(next);
     answer(*next, backend_verdict::accepted, {{run_of(1), {}, 10}}, ends);
     EXPECT_FALSE(take_order<hold_order>());
-    pass(agent_limits{}.list_pause);
+    pass(agent_limits{}.min_list_interval);
     EXPECT_TRUE(take_order<hold_order>());
 }
 
--- a/tests/call_pacer_test.cpp
+++ b/tests/call_pacer_test.cpp
@@ -1,4 +1,4 @@
-#include "coordination/call_pacer.h"
+#include "coordination/call_rate_limiter.h"
 
 #include <gtest/gtest.h>
 
@@ -7,14 +7,14 @@
 
 constexpr std::uint64_t seed = 11;
 constexpr time_point start{std::chrono::hours{1}};
-constexpr call_pacer_settings settings{.calls_per_second = 10,
-                                       .burst = 5,
-                                       .first_backoff = milliseconds{100},
-                                       .maximum_backoff = milliseconds{1000}};
+constexpr call_rate_limiter_settings settings{.calls_per_second = 10,
+                                              .burst = 5,
+                                              .initial_backoff = milliseconds{100},
+                                              .maximum_backoff = milliseconds{1000}};
 
 // Guards against a loop of calls that exceeds the process's share of the store's rate.
-TEST(call_pacer, spreads_calls_beyond_the_burst) {
-    call_pacer pacer{settings, seed};
+TEST(call_rate_limiter, spreads_calls_beyond_the_burst) {
+    call_rate_limiter pacer{settings, seed};
     for (int i = 0; i < 5; ++i)
         EXPECT_EQ(pacer.reserve(start), boot_clock::duration::zero());
     EXPECT_EQ(pacer.reserve(start), milliseconds{100});
@@ -23,8 +23,8 @@
 }
 
 // Guards against clients that hammer a store that is down: calls of a caller that retries at once, over 60 s.
-TEST(call_pacer, an_outage_causes_no_storm) {
-    call_pacer pacer{settings, seed};
+TEST(call_rate_limiter, an_outage_causes_no_storm) {
+    call_rate_limiter pacer{settings, seed};
     time_point now = start;
     int calls = 0;
     while (now < start + std::chrono::seconds{60}) {
@@ -38,9 +38,9 @@
 }
 
 // Guards against a backoff that outlasts the outage, and against equal delays in different processes.
-TEST(call_pacer, success_ends_the_backoff_and_seeds_differ) {
-    call_pacer first{settings, seed};
-    call_pacer second{settings, seed + 1};
+TEST(call_rate_limiter, success_ends_the_backoff_and_seeds_differ) {
+    call_rate_limiter first{settings, seed};
+    call_rate_limiter second{settings, seed + 1};
     first.record_failure(start);
     second.record_failure(start);
     EXPECT_NE(first.reserve(start), second.reserve(start));
--- a/tests/etcd_store_test.cpp
+++ b/tests/etcd_store_test.cpp
@@ -21,7 +21,7 @@
     settings.endpoints = std::move(endpoints);
     settings.pacing.calls_per_second = 1000;
     settings.pacing.burst = 1000;
-    settings.pacing.first_backoff = milliseconds{1};
+    settings.pacing.initial_backoff = milliseconds{1};
     settings.pacing.maximum_backoff = milliseconds{10};
     return settings;
 }
--- a/tests/load_world_test.cpp
+++ b/tests/load_world_test.cpp
@@ -93,7 +93,7 @@
     options.burst = 2;
     load_world rare{options};
     rare.run();
-    options.agent_figures.shortest_room_interval = 20ms;
+    options.agent_figures.min_room_interval = 20ms;
     options.agent_figures.room_interval_per_entry = 0ms;
     load_world frequent{options};
     frequent.run();
@@ -111,7 +111,7 @@
         options.burst = 1.4;
         load_world brief{options};
         after_short_wait += brief.run().at("short").in_time;
-        options.agent_figures.queue_patience = 2 * options.agent_figures.queue_patience;
+        options.agent_figures.queue_timeout = 2 * options.agent_figures.queue_timeout;
         load_world patient{options};
         after_long_wait += patient.run().at("short").in_time;
     }
--- a/transport/etcd_store.h
+++ b/transport/etcd_store.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "coordination/call_pacer.h"
+#include "coordination/call_rate_limiter.h"
 #include "coordination/key_value_store.h"
 #include "coordination/store_lease.h"
 #include "transport/etcd_store_settings.h"
@@ -63,7 +63,7 @@
     std::atomic<std::size_t> preferred_endpoint_{0};
     std::mutex mutex_;
     std::condition_variable stop_requested_;
-    call_pacer pacer_;
+    call_rate_limiter pacer_;
     std::vector<std::unique_ptr<curl_handle>> idle_handles_;
 };
 
--- a/transport/etcd_store_settings.h
+++ b/transport/etcd_store_settings.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "coordination/call_pacer.h"
+#include "coordination/call_rate_limiter.h"
 
 #include <string>
 #include <vector>
@@ -13,7 +13,7 @@
     milliseconds connect_timeout{500};
     // Bound on one request to one endpoint. A watch is bounded by the time its caller wants to wait.
     milliseconds request_timeout{2000};
-    call_pacer_settings pacing;
+    call_rate_limiter_settings pacing;
 };
 
 } // namespace persimmonstile
