--- a/coordination/grantor.cpp
+++ b/coordination/grantor.cpp
@@ -21,8 +21,8 @@
     , last_request_at_{now} {}
 
 grant_reply grantor::request(const grant_request& request, config_revision own_revision, time_point now) {
-    finish_wait(now);
-    note_heard(request.owner, now);
+    finish_recovery(now);
+    record_request_from(request.owner, now);
     grant_reply reply;
     reply.grantor = self_;
     reply.sequence = request.sequence;
@@ -43,7 +43,7 @@
 }
 
 table_ack grantor::push(const owner_table& table, time_point now) {
-    finish_wait(now);
+    finish_recovery(now);
     adopt(table, now);
     if (table.grantors.empty())
         start_without_recovery(table);
@@ -56,9 +56,9 @@
 }
 
 std::optional<recovery_request> grantor::recovery_due(time_point now) {
-    finish_wait(now);
+    finish_recovery(now);
     const bool may_be_named = is_named() || table_.grantors.size() < maximum_grantors;
-    if (!recovering_ || table_.grantors.empty() || !may_be_named || grants_from_)
+    if (!recovering_ || table_.grantors.empty() || !may_be_named || recovery_ends_at_)
         return std::nullopt;
     if (asked_at_ && now - *asked_at_ < grant_renewal_interval)
         return std::nullopt;
@@ -78,9 +78,9 @@
         return;
     for (const incarnation& agent : reply.recorded)
         record(agent, now);
-    answered_.insert(reply.grantor.name);
+    recovery_repliers_.insert(reply.grantor.name);
     adopt(reply.table, now);
-    check_answers(now);
+    check_recovery_majority(now);
 }
 
 epoch_number grantor::epoch_of(partition_id partition) const {
@@ -95,21 +95,22 @@
     if (table.version <= table_.version)
         return;
     table_ = table;
-    std::erase_if(heard_at_, [&](const auto& heard) { return !has_entry(table_, heard.first); });
+    std::erase_if(owner_heard_at_, [&](const auto& heard) { return !has_entry(table_, heard.first); });
     for (const entry_address& entry : table_.entries)
-        heard_at_.try_emplace(entry.entry, now);
-    const bool follows_assured = assured_version_ && table_.version == *assured_version_ + 1;
-    assured_version_.reset();
-    if (follows_assured && is_named())
+        owner_heard_at_.try_emplace(entry.entry, now);
+    const bool follows_bootstrap_table =
+        bootstrap_table_version_ && table_.version == *bootstrap_table_version_ + 1;
+    bootstrap_table_version_.reset();
+    if (follows_bootstrap_table && is_named())
         recovering_ = false;
-    check_answers(now);
+    check_recovery_majority(now);
 }
 
 void grantor::start_without_recovery(const owner_table& table) {
     if (!recovering_)
         return;
     if (table.version == table_.version)
-        assured_version_ = table.version;
+        bootstrap_table_version_ = table.version;
     // The first table with grantors arrived before the table without grantors that precedes it.
     else if (table.version + 1 == table_.version && is_named())
         recovering_ = false;
@@ -117,22 +118,22 @@
 
 // Requires a majority of the whole set, not only of the other members. With an even number of grantors, a
 // majority of the others could miss the majority that acknowledged a table with one more grantor.
-void grantor::check_answers(time_point now) {
+void grantor::check_recovery_majority(time_point now) {
     if (!recovering_)
         return;
     const auto answered = [&](const std::string& name) {
-        return name != self_.name && answered_.contains(name);
+        return name != self_.name && recovery_repliers_.contains(name);
     };
     if (!majority_satisfies(table_.grantors, answered))
-        grants_from_.reset();
-    else if (!grants_from_)
-        grants_from_ = now + grant_period;
+        recovery_ends_at_.reset();
+    else if (!recovery_ends_at_)
+        recovery_ends_at_ = now + grant_period;
 }
 
-void grantor::finish_wait(time_point now) {
-    if (!grants_from_ || now < *grants_from_)
+void grantor::finish_recovery(time_point now) {
+    if (!recovery_ends_at_ || now < *recovery_ends_at_)
         return;
-    grants_from_.reset();
+    recovery_ends_at_.reset();
     recovering_ = false;
 }
 
@@ -154,13 +155,13 @@
 
 // If no request arrived for the silence limit, this process was itself paused or disconnected, and its queue
 // may still hold requests from every owner. Silence is then measured from now.
-void grantor::note_heard(const incarnation& owner, time_point now) {
+void grantor::record_request_from(const incarnation& owner, time_point now) {
     if (now - last_request_at_ > owner_silence_limit) {
-        for (auto& [entry, heard_at] : heard_at_)
+        for (auto& [entry, heard_at] : owner_heard_at_)
             heard_at = now;
     }
     last_request_at_ = now;
-    heard_at_[owner] = now;
+    owner_heard_at_[owner] = now;
 }
 
 std::vector<incarnation> grantor::recorded_agents() const {
@@ -174,8 +175,8 @@
 std::vector<incarnation> grantor::silent_owners(time_point now) const {
     std::vector<incarnation> silent;
     for (const entry_address& entry : table_.entries) {
-        const auto heard = heard_at_.find(entry.entry);
-        if (heard != heard_at_.end() && now - heard->second > owner_silence_limit)
+        const auto heard = owner_heard_at_.find(entry.entry);
+        if (heard != owner_heard_at_.end() && now - heard->second > owner_silence_limit)
             silent.push_back(entry.entry);
     }
     return silent;
--- a/coordination/grantor.h
+++ b/coordination/grantor.h
@@ -50,9 +50,9 @@
     bool is_named() const;
     void adopt(const owner_table& table, time_point now);
     void start_without_recovery(const owner_table& table);
-    void check_answers(time_point now);
-    void finish_wait(time_point now);
-    void note_heard(const incarnation& owner, time_point now);
+    void check_recovery_majority(time_point now);
+    void finish_recovery(time_point now);
+    void record_request_from(const incarnation& owner, time_point now);
     void record(const incarnation& agent, time_point now);
     void drop_replaced_records(time_point now);
     std::vector<incarnation> recorded_agents() const;
@@ -62,11 +62,11 @@
     owner_table table_;
     bool recovering_ = true;
     // Version of the received table without grantors, until the next table arrives.
-    std::optional<table_version> assured_version_;
-    std::set<std::string> answered_;
+    std::optional<table_version> bootstrap_table_version_;
+    std::set<std::string> recovery_repliers_;
     std::optional<time_point> asked_at_;
-    std::optional<time_point> grants_from_;
-    std::map<incarnation, time_point> heard_at_;
+    std::optional<time_point> recovery_ends_at_;
+    std::map<incarnation, time_point> owner_heard_at_;
     time_point last_request_at_;
     // Recorded agent incarnations. The value is the time at which another incarnation of the same name was
     // recorded, if any.
--- a/coordination/orphan_runs.cpp
+++ b/coordination/orphan_runs.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Delay before a query is retried after the store did not answer.
-constexpr milliseconds retry_pause{200};
+constexpr milliseconds retry_delay{200};
 
 } // namespace
 
@@ -19,10 +19,11 @@
         found->second.ask_at = now;
 }
 
-std::vector<std::pair<std::uint64_t, job_id>> orphan_runs::take_questions(bool asks_shared, time_point now) {
+std::vector<std::pair<std::uint64_t, job_id>> orphan_runs::take_questions(bool includes_shared,
+                                                                          time_point now) {
     std::vector<std::pair<std::uint64_t, job_id>> questions;
     for (auto& [run, pending] : checks_) {
-        if (pending.question != 0 || now < pending.ask_at || (pending.is_shared && !asks_shared))
+        if (pending.question != 0 || now < pending.ask_at || (pending.is_shared && !includes_shared))
             continue;
         pending.question = ++last_question_;
         questions.emplace_back(pending.question, run.task.job);
@@ -40,7 +41,7 @@
     const auto* status = item != nullptr ? std::get_if<job_status>(&item->item.value) : nullptr;
     if (status == nullptr && !std::holds_alternative<item_missing>(answer)) {
         found->second.question = 0;
-        found->second.ask_at = now + retry_pause;
+        found->second.ask_at = now + retry_delay;
         return std::nullopt;
     }
     const orphan run = found->second.run;
--- a/coordination/orphan_runs.h
+++ b/coordination/orphan_runs.h
@@ -26,8 +26,8 @@
     void add(agent_number agent, const run_report& report, bool is_shared, time_point now);
 
     // Ids of the store queries that are due, each with the job whose record is to be read. Shared runs are
-    // included only if asks_shared is set.
-    std::vector<std::pair<std::uint64_t, job_id>> take_questions(bool asks_shared, time_point now);
+    // included only if includes_shared is set.
+    std::vector<std::pair<std::uint64_t, job_id>> take_questions(bool includes_shared, time_point now);
 
     // Handles the store's reply. Returns the run if no entry will claim it.
     std::optional<orphan> answered(std::uint64_t question, const store_reply& answer, time_point now);
--- a/coordination/ownership.cpp
+++ b/coordination/ownership.cpp
@@ -21,21 +21,21 @@
     : self_{std::move(self)}
     , address_{std::move(address)}
     , minimum_grantors_{std::max<std::size_t>(minimum_grantors, 1)}
-    , pacer_{seed_of(self_)} {}
+    , store_rate_limiter_{seed_of(self_)} {}
 
 // --- events ---
 
 ownership_actions ownership::table_read(const std::optional<owner_table>& table, std::int64_t mod_revision,
                                         time_point now) {
     ownership_actions actions;
-    pacer_.succeeded();
+    store_rate_limiter_.succeeded();
     const auto asked_at = std::exchange(read_asked_at_, std::nullopt);
     const std::string unresolved = std::exchange(unresolved_operation_, {});
     const table_version found = table ? table->version : 0;
     if (!unresolved.empty() && found > table_.version && table->operation_id != unresolved)
-        pacer_.lost_race(now);
+        store_rate_limiter_.lost_race(now);
     if (asked_at && found >= table_.version && (!table || table->grantors.empty()))
-        assurance_ = assurance{*asked_at, found};
+        bootstrap_read_ = bootstrap_read{*asked_at, found};
     if (table)
         adopt(*table, now, actions);
     if (found == table_.version)
@@ -47,7 +47,7 @@
 ownership_actions ownership::table_unavailable(time_point now) {
     ownership_actions actions;
     read_asked_at_.reset();
-    pacer_.failed(now);
+    store_rate_limiter_.failed(now);
     advance(now, actions);
     return actions;
 }
@@ -57,13 +57,13 @@
     const auto written = std::exchange(writing_, std::nullopt);
     mod_revision_.reset();
     if (result == table_write_result::committed) {
-        pacer_.succeeded();
+        store_rate_limiter_.succeeded();
         if (written)
             adopt(*written, now, actions);
     } else if (result == table_write_result::lost_race) {
-        pacer_.lost_race(now);
+        store_rate_limiter_.lost_race(now);
     } else {
-        pacer_.failed(now);
+        store_rate_limiter_.failed(now);
         unresolved_operation_ = written ? written->operation_id : std::string{};
     }
     advance(now, actions);
@@ -127,7 +127,7 @@
         grantor->acknowledged = std::max(grantor->acknowledged, reply.version);
     if (reply.granted)
         grantor->lease_until = sent->second + grant_period;
-    note_records(reply, sent->second, now);
+    update_record_confirmations(reply, sent->second, now);
     exchange_tables(*grantor, reply.version, now, actions);
     advance(now, actions);
     return actions;
@@ -141,7 +141,7 @@
     grantor->known = std::max(grantor->known, ack.version);
     if (!ack.recovering)
         grantor->acknowledged = std::max(grantor->acknowledged, ack.version);
-    if (table_.grantors.empty() && ack.version == table_.version && is_assured(*grantor))
+    if (table_.grantors.empty() && ack.version == table_.version && is_covered_by_bootstrap_read(*grantor))
         grantor->accepts_first_table = true;
     advance(now, actions);
     return actions;
@@ -172,7 +172,7 @@
 
 bool ownership::left() const {
     const bool undecided = writing_ || !unresolved_operation_.empty();
-    return leaving_ && !undecided && (!is_member() || alone_);
+    return leaving_ && !undecided && (!is_member() || is_only_entry_);
 }
 
 ownership_actions ownership::tick(time_point now) {
@@ -251,7 +251,7 @@
     mod_revision_.reset();
     change_at_.reset();
     actions.table_changed = true;
-    note_predecessors();
+    record_predecessors();
     const auto own = own_partitions();
     for (auto active = active_.begin(); active != active_.end();) {
         const auto found = own.find(active->first);
@@ -308,10 +308,10 @@
 
 // Incarnations with this entry's name that are seen before it first writes itself into the table are earlier
 // ones. This includes an incarnation whose last write took effect late.
-void ownership::note_predecessors() {
-    has_claimed_ = has_claimed_ || is_member();
+void ownership::record_predecessors() {
+    has_joined_ = has_joined_ || is_member();
     for (const entry_address& known : table_.entries) {
-        if (known.entry.name == self_.name && known.entry != self_ && !has_claimed_)
+        if (known.entry.name == self_.name && known.entry != self_ && !has_joined_)
             predecessors_.insert(known.entry);
     }
 }
@@ -326,7 +326,7 @@
 }
 
 void ownership::advance(time_point now, ownership_actions& actions) {
-    alone_ = !has_other_entry(now);
+    is_only_entry_ = !has_other_entry(now);
     advance_takeovers(now, actions);
     propose(now, actions);
     renew_grants(now, actions);
@@ -413,7 +413,7 @@
     return agents;
 }
 
-void ownership::note_records(const grant_reply& reply, time_point sent, time_point now) {
+void ownership::update_record_confirmations(const grant_reply& reply, time_point sent, time_point now) {
     for (const incarnation& recorded : reply.recorded) {
         const auto pending = pending_records_.find(recorded);
         if (pending == pending_records_.end())
@@ -465,9 +465,10 @@
 void ownership::exchange_tables(const agent_state& agent, table_version known, time_point now,
                                 ownership_actions& actions) {
     if (known < table_.version || (agent.recovering && !agent.acknowledged)) {
-        if (assurance_ && is_assured(agent) && assurance_->version + 1 == table_.version) {
+        if (bootstrap_read_ && is_covered_by_bootstrap_read(agent) &&
+            bootstrap_read_->version + 1 == table_.version) {
             owner_table base;
-            base.version = assurance_->version;
+            base.version = bootstrap_read_->version;
             actions.sends.push_back({agent.id, table_push{std::move(base)}});
         }
         if (known < table_.version)
@@ -483,7 +484,7 @@
 void ownership::push_table(const agent_state& agent, ownership_actions& actions) const {
     // A table without grantors asserts that the store held nothing newer, so it is sent only if the store was
     // read after the agent connected.
-    if (table_.grantors.empty() && !is_assured(agent))
+    if (table_.grantors.empty() && !is_covered_by_bootstrap_read(agent))
         return;
     actions.sends.push_back({agent.id, table_push{table_}});
 }
@@ -502,18 +503,18 @@
 }
 
 void ownership::read(time_point now, ownership_actions& actions) {
-    if (!pacer_.may_call(now))
+    if (!store_rate_limiter_.may_call(now))
         return;
-    pacer_.called(now);
+    store_rate_limiter_.called(now);
     read_asked_at_ = now;
     actions.read_table = true;
 }
 
 void ownership::write(owner_table table, time_point now, ownership_actions& actions) {
-    if (!pacer_.may_call(now))
+    if (!store_rate_limiter_.may_call(now))
         return;
-    pacer_.called(now);
-    has_claimed_ = has_claimed_ || has_entry(table, self_);
+    store_rate_limiter_.called(now);
+    has_joined_ = has_joined_ || has_entry(table, self_);
     table.writer = self_.name;
     table.operation_id =
         self_.name + "-" + std::to_string(self_.number) + "-" + std::to_string(++operations_);
@@ -522,11 +523,11 @@
 }
 
 void ownership::propose_first_table(time_point now, ownership_actions& actions) {
-    const bool is_recent = assurance_ && assurance_->version == table_.version && mod_revision_ &&
-                           now - assurance_->asked_at < bootstrap_poll_interval;
-    const bool has_enough = !leaving_ && is_quiet(now) && connected_agents() >= minimum_grantors_;
+    const bool is_recent = bootstrap_read_ && bootstrap_read_->version == table_.version && mod_revision_ &&
+                           now - bootstrap_read_->asked_at < bootstrap_poll_interval;
+    const bool has_enough = !leaving_ && are_agents_stable(now) && connected_agents() >= minimum_grantors_;
     const auto is_unassured = [&](const auto& agent) {
-        return agent.second.connected && !is_assured(agent.second);
+        return agent.second.connected && !is_covered_by_bootstrap_read(agent.second);
     };
     if (!is_recent || (has_enough && std::any_of(agents_.begin(), agents_.end(), is_unassured))) {
         read(now, actions);
@@ -535,15 +536,15 @@
     if (!has_enough)
         return;
     const std::vector<std::string> grantors = first_grantors();
-    const bool waits_for_more =
-        accepting_agents() < connected_agents() && now - assurance_->asked_at < bootstrap_quiet_time;
-    if (grantors.size() >= minimum_grantors_ && !waits_for_more) {
+    const bool awaits_more_agents =
+        accepting_agents() < connected_agents() && now - bootstrap_read_->asked_at < bootstrap_quiet_time;
+    if (grantors.size() >= minimum_grantors_ && !awaits_more_agents) {
         write(first_table(table_, {self_, address_}, grantors), now, actions);
         return;
     }
-    if (assured_at_ && now - *assured_at_ < grant_renewal_interval)
+    if (bootstrap_table_pushed_at_ && now - *bootstrap_table_pushed_at_ < grant_renewal_interval)
         return;
-    assured_at_ = now;
+    bootstrap_table_pushed_at_ = now;
     for (const auto& [name, agent] : agents_) {
         if (agent.connected)
             push_table(agent, actions);
@@ -558,7 +559,7 @@
         return;
     }
     if (!change_at_)
-        change_at_ = leaving_ ? now : now + pacer_.jitter(change_jitter);
+        change_at_ = leaving_ ? now : now + store_rate_limiter_.jitter(change_jitter);
     if (now < *change_at_)
         return;
     if (!mod_revision_)
@@ -574,18 +575,18 @@
 entry_change ownership::plan_entries(time_point now) const {
     entry_change change;
     const bool member = is_member();
-    if (leaving_ && (!member || alone_))
+    if (leaving_ && (!member || is_only_entry_))
         return change;
-    bool gives_way = false;
+    bool is_superseded = false;
     for (const entry_address& known : table_.entries) {
         const bool is_self = known.entry == self_;
         const bool is_predecessor = known.entry.name == self_.name && predecessors_.contains(known.entry);
         if (is_self ? leaving_ : is_predecessor || is_silent(known.entry, now))
             change.removed.insert(known.entry);
         else
-            gives_way = gives_way || is_successor(known.entry);
+            is_superseded = is_superseded || is_successor(known.entry);
     }
-    if (!member && !gives_way)
+    if (!member && !is_superseded)
         change.joined = entry_address{self_, address_};
     else if (!member)
         change.removed.clear();
@@ -662,14 +663,14 @@
     return static_cast<std::size_t>(count);
 }
 
-bool ownership::is_quiet(time_point now) const {
+bool ownership::are_agents_stable(time_point now) const {
     return std::all_of(agents_.begin(), agents_.end(), [&](const auto& agent) {
         return !agent.second.connected || now - agent.second.changed_at >= bootstrap_quiet_time;
     });
 }
 
-bool ownership::is_assured(const agent_state& agent) const {
-    return assurance_ && agent.first_connected_at <= assurance_->asked_at;
+bool ownership::is_covered_by_bootstrap_read(const agent_state& agent) const {
+    return bootstrap_read_ && agent.first_connected_at <= bootstrap_read_->asked_at;
 }
 
 bool ownership::is_healthy(const std::string& name, time_point now) const {
--- a/coordination/ownership.h
+++ b/coordination/ownership.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "coordination/ownership_actions.h"
-#include "coordination/store_pacer.h"
+#include "coordination/store_rate_limiter.h"
 #include "coordination/table_change.h"
 #include "coordination/takeover.h"
 #include "state/grant_reply.h"
@@ -111,14 +111,14 @@
         bool added = false;
     };
     // Outcome of the latest read that found no table, or one without grantors.
-    struct assurance {
+    struct bootstrap_read {
         time_point asked_at;
         table_version version = 0;
     };
 
     void adopt(const owner_table& table, time_point now, ownership_actions& actions);
     void start_takeover(const owner_table& previous, const std::map<partition_id, epoch_number>& own);
-    void note_predecessors();
+    void record_predecessors();
     bool is_successor(const incarnation& entry) const;
     std::map<partition_id, epoch_number> own_partitions() const;
 
@@ -126,7 +126,7 @@
     void advance_takeovers(time_point now, ownership_actions& actions);
     void renew_grants(time_point now, ownership_actions& actions);
     std::vector<incarnation> agents_to_record(bool refresh) const;
-    void note_records(const grant_reply& reply, time_point sent, time_point now);
+    void update_record_confirmations(const grant_reply& reply, time_point sent, time_point now);
     bool is_confirmed(const pending_record& record) const;
     void inherit_records(const takeover& completed);
     bool has_inherited_records() const;
@@ -148,8 +148,8 @@
     std::vector<std::string> first_grantors() const;
     std::size_t connected_agents() const;
     std::size_t accepting_agents() const;
-    bool is_quiet(time_point now) const;
-    bool is_assured(const agent_state& agent) const;
+    bool are_agents_stable(time_point now) const;
+    bool is_covered_by_bootstrap_read(const agent_state& agent) const;
     bool is_healthy(const std::string& name, time_point now) const;
     bool is_member() const;
     bool is_silent(const incarnation& entry, time_point now) const;
@@ -175,11 +175,11 @@
     std::optional<time_point> refreshed_at_;
     std::optional<time_point> asked_for_table_at_;
 
-    store_pacer pacer_;
+    store_rate_limiter store_rate_limiter_;
     std::optional<time_point> change_at_;
     std::optional<time_point> read_asked_at_;
-    std::optional<assurance> assurance_;
-    std::optional<time_point> assured_at_;
+    std::optional<bootstrap_read> bootstrap_read_;
+    std::optional<time_point> bootstrap_table_pushed_at_;
     // Modification revision of table_ in the store, if it was read.
     std::optional<std::int64_t> mod_revision_;
     std::optional<owner_table> writing_;
@@ -188,9 +188,9 @@
     std::uint64_t operations_ = 0;
 
     bool leaving_ = false;
-    bool alone_ = false;
+    bool is_only_entry_ = false;
     // Whether a table with this entry was written, and the incarnations with its name seen before that.
-    bool has_claimed_ = false;
+    bool has_joined_ = false;
     std::set<incarnation> predecessors_;
 };
 
--- a/coordination/prefix_view.cpp
+++ b/coordination/prefix_view.cpp
@@ -10,23 +10,23 @@
 // A listing is short, but the store may be slow.
 constexpr milliseconds list_timeout{600};
 // Minimum of slack_, which covers network delay and a slow store. It doubles after each
-// failure, up to longest_slack, because the process may be too busy to read its replies in time.
-constexpr milliseconds shortest_slack{400};
-constexpr milliseconds longest_slack{2000};
+// failure, up to max_slack, because the process may be too busy to read its replies in time.
+constexpr milliseconds min_slack{400};
+constexpr milliseconds max_slack{2000};
 // If a change that another process has seen does not arrive within this time, the watch counts as lost.
-constexpr milliseconds expectation_patience{150};
-constexpr milliseconds failure_pause{60};
+constexpr milliseconds expectation_timeout{150};
+constexpr milliseconds failure_backoff{60};
 
 } // namespace
 
 prefix_view::prefix_view(std::string prefix, milliseconds watch_wait)
     : prefix_{std::move(prefix)}
     , watch_wait_{watch_wait}
-    , slack_{shortest_slack} {}
+    , slack_{min_slack} {}
 
 std::vector<prefix_view::call> prefix_view::take_calls(time_point now) {
     std::vector<call> calls;
-    if (expected_revision_ > revision_ && now - expected_since_ >= expectation_patience && is_listed_) {
+    if (expected_revision_ > revision_ && now - expected_since_ >= expectation_timeout && is_listed_) {
         is_listed_ = false;
         listing_after_.clear();
         waiting_for_ = 0;
@@ -48,11 +48,11 @@
         return;
     waiting_for_ = 0;
     if (std::holds_alternative<store_failure>(reply)) {
-        not_before_ = now + failure_pause;
-        slack_ = std::min(slack_ * 2, longest_slack);
+        not_before_ = now + failure_backoff;
+        slack_ = std::min(slack_ * 2, max_slack);
         return;
     }
-    slack_ = shortest_slack;
+    slack_ = min_slack;
     if (std::holds_alternative<history_lost>(reply)) {
         is_listed_ = false;
         return;
@@ -135,7 +135,7 @@
 
 std::optional<time_point> prefix_view::next_wakeup() const {
     if (expected_revision_ > revision_ && is_listed_)
-        return expected_since_ + expectation_patience;
+        return expected_since_ + expectation_timeout;
     if (waiting_for_ != 0)
         return std::nullopt;
     return not_before_;
--- a/coordination/session_keeper.cpp
+++ b/coordination/session_keeper.cpp
@@ -23,16 +23,16 @@
 // A liveness key may be missing briefly while its lease is replaced.
 constexpr milliseconds missing_grace{300};
 // Delay per position among the live entries, so that adoptions by different entries rarely race.
-constexpr milliseconds rank_delay{120};
+constexpr milliseconds adoption_stagger{120};
 
-constexpr milliseconds failure_pause{60};
+constexpr milliseconds failure_backoff{60};
 
 constexpr milliseconds first_timeout{200};
 constexpr milliseconds shortest_timeout{80};
 constexpr milliseconds longest_timeout{1000};
 
 // Maximum number of agents recorded per write. The store accepts 32 conditions and values in total.
-constexpr std::size_t most_agents_per_write = 15;
+constexpr std::size_t max_agents_per_write = 15;
 
 // Interval at which the members are checked while nothing else is due.
 constexpr milliseconds idle_interval{100};
@@ -81,7 +81,7 @@
             else
                 list(now);
             keep_alive(now);
-            look_for_orphans(now);
+            adopt_expired_sessions(now);
             for (const auto& [former, pending] : pending_)
                 list_jobs(former, now);
             record_agents(now);
@@ -199,7 +199,7 @@
     session_ = candidate_;
     entry_revision_ = revision;
     // The liveness key was written with the claim. If it has expired since, the watch reports that.
-    is_signed_ = true;
+    is_liveness_key_written_ = true;
     phase_ = phase::active;
     note("session begins", {{"session", session_text(session_)},
                             {"revision", static_cast<std::int64_t>(revision)},
@@ -241,11 +241,11 @@
     }
     if (phase_ != phase::active)
         return;
-    const bool is_missing = is_view_current_ && !members_.is_alive(session_) && is_signed_ &&
+    const bool is_missing = is_view_current_ && !members_.is_alive(session_) && is_liveness_key_written_ &&
                             members_.missing_since(session_) &&
                             now - *members_.missing_since(session_) >= missing_grace / 2;
-    if (!is_signed_ || is_missing) {
-        sign(now);
+    if (!is_liveness_key_written_ || is_missing) {
+        write_liveness_key(now);
         return;
     }
     if (now >= next_renewal_ && !is_waiting_for(purpose::renew_lease)) {
@@ -255,18 +255,18 @@
 }
 
 // Rewrites the liveness key under the current lease.
-void session_keeper::sign(time_point now) {
-    if (is_waiting_for(purpose::sign))
+void session_keeper::write_liveness_key(time_point now) {
+    if (is_waiting_for(purpose::write_liveness_key))
         return;
     store_write write;
     write.conditions.push_back({entry_key(session_.name), entry_revision_});
     write.puts.push_back({alive_key(session_), std::string{}, lease_});
-    send(purpose::sign, std::move(write), timeout(), now);
+    send(purpose::write_liveness_key, std::move(write), timeout(), now);
 }
 
 // ---- Adoption ----
 
-void session_keeper::look_for_orphans(time_point now) {
+void session_keeper::adopt_expired_sessions(time_point now) {
     if (!is_view_current_ || failing_since_ || session_.name.empty())
         return;
     // Writes whose replies were lost may have made this session a successor.
@@ -289,7 +289,7 @@
         const std::optional<time_point> missing = members_.missing_since(session);
         if (!missing)
             continue;
-        const milliseconds delay = rank_delay * static_cast<int>(position);
+        const milliseconds delay = adoption_stagger * static_cast<int>(position);
         const bool is_due =
             state.record.is_leaving
                 ? now >= *missing + delay
@@ -418,7 +418,7 @@
     write.conditions.push_back({entry_key(session_.name), entry_revision_});
     recording_.clear();
     for (const auto& [name, agent] : needed_agents_) {
-        if (members_.agents().contains(name) || recording_.size() >= most_agents_per_write)
+        if (members_.agents().contains(name) || recording_.size() >= max_agents_per_write)
             continue;
         write.puts.push_back({agent_key(name), agent});
         recording_.push_back(agent);
@@ -459,7 +459,7 @@
     case purpose::open_lease:
         if (const auto* valid = std::get_if<lease_valid>(&reply)) {
             lease_ = valid->lease;
-            is_signed_ = false;
+            is_liveness_key_written_ = false;
             next_renewal_ = sent.sent + renewal_interval;
         }
         return;
@@ -467,16 +467,16 @@
         if (std::holds_alternative<lease_missing>(reply)) {
             note("lease has ended, opening another", {{"session", session_text(session_)}}, true);
             lease_ = 0;
-            is_signed_ = false;
+            is_liveness_key_written_ = false;
         }
         return;
-    case purpose::sign:
+    case purpose::write_liveness_key:
         if (std::holds_alternative<lease_missing>(reply))
             lease_ = 0;
         if (std::holds_alternative<write_conflict>(reply))
             deposed(now);
         if (std::holds_alternative<write_applied>(reply))
-            is_signed_ = true;
+            is_liveness_key_written_ = true;
         return;
     case purpose::adopt:
         adoption_replied(sent.former, reply, now);
@@ -507,7 +507,7 @@
     }
     if (sent.why != purpose::watch && failure.may_have_applied)
         round_trip_.missing();
-    not_before_ = now + failure_pause;
+    not_before_ = now + failure_backoff;
     if (sent.why == purpose::jobs) {
         const auto found = pending_.find(sent.former);
         if (found != pending_.end())
@@ -528,7 +528,7 @@
     candidate_ = {};
     entry_revision_ = 0;
     lease_ = 0;
-    is_signed_ = false;
+    is_liveness_key_written_ = false;
     is_view_current_ = false;
     listing_.clear();
     listing_after_.clear();
--- a/coordination/session_keeper.h
+++ b/coordination/session_keeper.h
@@ -76,7 +76,7 @@
         watch,
         open_lease,
         renew_lease,
-        sign,
+        write_liveness_key,
         adopt,
         jobs,
         agents,
@@ -111,8 +111,8 @@
     void watch(time_point now);
     void watched(const store_reply& reply, time_point now);
     void keep_alive(time_point now);
-    void sign(time_point now);
-    void look_for_orphans(time_point now);
+    void write_liveness_key(time_point now);
+    void adopt_expired_sessions(time_point now);
     void adopt(const incarnation& former, bool may_live, time_point now);
     void adoption_replied(const incarnation& former, const store_reply& reply, time_point now);
     void list_jobs(const incarnation& former, time_point now);
@@ -140,7 +140,7 @@
     bool is_view_current_ = false;
 
     std::uint64_t lease_ = 0;
-    bool is_signed_ = false;
+    bool is_liveness_key_written_ = false;
     time_point next_renewal_{};
 
     std::set<incarnation> connected_;
--- a/coordination/store_pacer.h
+++ b/coordination/store_rate_limiter.h
@@ -10,9 +10,9 @@
 
 // Limits the rate of an entry's store calls: at most one per second on average, two in succession only while
 // the store works, and a growing random backoff after failures and lost races.
-class store_pacer {
+class store_rate_limiter {
 public:
-    explicit store_pacer(std::uint64_t seed);
+    explicit store_rate_limiter(std::uint64_t seed);
 
     bool may_call(time_point now) const;
     void called(time_point now);
@@ -27,7 +27,7 @@
 private:
     std::mt19937_64 random_;
     std::optional<time_point> last_call_;
-    std::optional<time_point> call_before_;
+    std::optional<time_point> previous_call_;
     std::optional<time_point> failed_at_;
     time_point not_before_{};
     std::uint32_t failures_ = 0;
--- a/coordination/takeover.cpp
+++ b/coordination/takeover.cpp
@@ -35,7 +35,7 @@
 }
 
 std::vector<incarnation> takeover::advance(const acknowledged_by& acknowledged, time_point now) {
-    note_acknowledgements(acknowledged, now);
+    record_acknowledgements(acknowledged, now);
     std::vector<incarnation> asked;
     grantor_group ready = ready_grantors(acknowledged, now);
     const auto is_ready = [&](const std::string& name) {
@@ -60,7 +60,7 @@
     return asked;
 }
 
-void takeover::note_acknowledgements(const acknowledged_by& acknowledged, time_point now) {
+void takeover::record_acknowledgements(const acknowledged_by& acknowledged, time_point now) {
     for (const auto& names : grantor_sets_) {
         for (const std::string& name : names) {
             const auto grantor = acknowledged(name);
--- a/coordination/takeover.h
+++ b/coordination/takeover.h
@@ -56,7 +56,7 @@
     };
     using grantor_group = std::map<std::string, incarnation>;
 
-    void note_acknowledgements(const acknowledged_by& acknowledged, time_point now);
+    void record_acknowledgements(const acknowledged_by& acknowledged, time_point now);
     grantor_group ready_grantors(const acknowledged_by& acknowledged, time_point now) const;
 
     table_version version_;
