--- a/state/adoption.h
+++ b/state/adoption.h
@@ -7,11 +7,11 @@
 
 namespace persimmonstile {
 
-// The record that the jobs of a deposed session belong to another one.
+// Stored record of a session takeover: the jobs of the deposed session now belong to its successor.
 struct adoption {
     incarnation former;
     incarnation successor;
-    // Number of successions since the jobs were accepted. Run numbers of later owners are higher.
+    // Number of successions since the jobs were accepted. A later owner uses higher run numbers.
     std::uint32_t depth = 1;
 
     static constexpr auto members() {
--- a/state/agent_load.h
+++ b/state/agent_load.h
@@ -5,7 +5,7 @@
 
 namespace persimmonstile {
 
-// Load of one agent for one service, sent along with messages that are due anyway.
+// Load of one agent for one service. It is added to messages that are sent for another reason.
 struct agent_load {
     std::uint32_t slots = 0;
     std::uint32_t running = 0;
--- a/state/agent_parting.h
+++ b/state/agent_parting.h
@@ -8,9 +8,9 @@
 
 namespace persimmonstile {
 
-// Agent to entry, as the last message before a planned stop: the hashes of all jobs of which it has a record.
-// It accepts nothing more. A later query about any other job is thereby answered, so that jobs which never
-// reached this agent do not get an unknown outcome only because it is gone.
+// Agent to entry, the last message before a planned stop: the hashes of all jobs that the agent has on
+// record. The agent accepts nothing more, so a later query about any other job is answered by this list.
+// Without it, jobs that never reached the agent would get an unknown outcome once the agent is gone.
 struct agent_parting {
     incarnation agent;
     std::vector<std::uint64_t> jobs;
--- a/state/agent_profile.h
+++ b/state/agent_profile.h
@@ -10,18 +10,19 @@
 
 namespace persimmonstile {
 
-// Agent to entry, first on each connection and on every change: who the agent is and which backend server is
-// beside it.
+// Agent to entry, first on each connection and again on every change: identity of the agent and of the
+// backend server beside it.
 struct agent_profile {
     incarnation agent;
     std::string zone;
-    // Takes new runs: the backend server serves, the agent knows what runs there and is not shutting down.
+    // The agent accepts new runs: the backend server is serving, the agent knows which runs it has, and the
+    // agent is not shutting down.
     bool accepts_runs = false;
-    // Empty id while none is known.
+    // The id is empty while no backend server is known.
     backend_profile backend;
     agent_room room;
-    // Its runs fail or stand still, whatever the backend server says of itself. Better places are to be
-    // preferred.
+    // Runs of this agent fail or make no progress, whatever the backend server reports about itself. Other
+    // agents are preferred.
     bool is_suspect = false;
 
     static constexpr auto members() {
--- a/state/agent_room.h
+++ b/state/agent_room.h
@@ -7,12 +7,13 @@
 
 namespace persimmonstile {
 
-// Room that an agent has left. Runs in doubt count as running until they are resolved.
+// Free capacity of an agent. A run counts as running while the backend server has not answered its start
+// order.
 struct agent_room {
     resources free;
-    // Needs of the runs that wait at the agent.
+    // Resources needed by the runs that are queued at the agent.
     resources queued;
-    // Number of start messages of the receiving entry that are included.
+    // Number of start messages from the receiving entry that these figures include.
     std::uint64_t starts_seen = 0;
 
     bool operator==(const agent_room&) const = default;
--- a/state/agent_status.h
+++ b/state/agent_status.h
@@ -10,8 +10,8 @@
 
 namespace persimmonstile {
 
-// Agent to entry, on connecting and on every change: who the agent is and what it can run.
-// services is empty while no backend server is announced or the backend server leaves.
+// Agent to entry, on connecting and on every change: identity of the agent and the services it can run.
+// services is empty while no backend server is announced and while the backend server is leaving.
 struct agent_status {
     incarnation agent;
     std::string zone;
--- a/state/backend_profile.h
+++ b/state/backend_profile.h
@@ -9,20 +9,20 @@
 
 namespace persimmonstile {
 
-// What a backend server says of itself.
+// What a backend server announces about itself: identity, capacity and labels.
 struct backend_profile {
     std::string id;
-    // Distinguishes the lives of a backend server under one id. Grows with each start.
+    // Distinguishes lifetimes of a backend server that restarts with the same id. It grows with each start.
     std::uint64_t life = 0;
     std::string service;
     std::string zone;
     resources capacity;
-    // Backend servers of one kind run at the same speed.
+    // Backend servers of the same kind run tasks at the same speed.
     std::string kind;
     std::string rack;
-    // All labels that a job may require, kind and rack among them.
+    // All labels that a job may require, including kind and rack.
     std::vector<std::string> labels;
-    // It finishes what runs and takes nothing new.
+    // The backend server finishes its current runs and accepts no new ones.
     bool draining = false;
 
     bool operator==(const backend_profile&) const = default;
--- a/state/claim_runs.h
+++ b/state/claim_runs.h
@@ -9,7 +9,7 @@
 
 namespace persimmonstile {
 
-// A run with what it takes of the backend server.
+// A run and the resources that it uses on the backend server.
 struct claimed_run {
     run_ref run;
     resources needs;
@@ -17,7 +17,7 @@
     static constexpr auto members() { return std::make_tuple(&claimed_run::run, &claimed_run::needs); }
 };
 
-// Owner to agent: these runs, which a restarted agent found at its backend server, belong to this owner.
+// Owner to agent: the owner claims these runs, which a restarted agent found at its backend server.
 struct claim_runs {
     incarnation owner;
     bool is_kept = true;
--- a/state/clock_source.h
+++ b/state/clock_source.h
@@ -4,15 +4,17 @@
 
 namespace persimmonstile {
 
-// The injected clock. Daemons read the machine's clocks; tests advance time by hand.
+// Source of the current time, passed to the code that needs it. Daemons read the machine's clocks; tests
+// advance the time by hand.
 class clock_source {
 public:
     virtual ~clock_source() = default;
 
-    // Time for leases, timeouts and measurements.
+    // Monotonic time for leases, timeouts and measurements.
     virtual time_point now() const = 0;
 
-    // Calendar time. Only for UUIDv7 ids, expiry dates and reports, because it may jump.
+    // Calendar time, which may jump. Used only where a date is needed: UUIDv7 ids, expiry dates, start times
+    // of repeated jobs, records and reports.
     virtual wall_time wall_now() const = 0;
 };
 
--- a/state/config_push.h
+++ b/state/config_push.h
@@ -7,8 +7,8 @@
 
 namespace persimmonstile {
 
-// Carries the fleet configuration to a process that has an older one. content is the JSON document in the
-// store.
+// Sends the fleet configuration to a process that has an older revision. content is the JSON document from
+// the store.
 struct config_push {
     config_revision revision = 0;
     std::string content;
--- a/state/content_request.h
+++ b/state/content_request.h
@@ -5,7 +5,7 @@
 
 namespace persimmonstile {
 
-// Asks a peer for its owner table and configuration, where these are newer than the asker's.
+// Asks a peer for its owner table and configuration if they are newer than the versions given here.
 struct content_request {
     std::uint64_t known_version = 0;
     std::uint64_t known_revision = 0;
--- a/state/deployment_config.h
+++ b/state/deployment_config.h
@@ -10,13 +10,13 @@
 
 namespace persimmonstile {
 
-// What the operators have configured, in one version, and which availability zones are out of service.
+// One version of the operators' configuration, and the availability zones that are out of service.
 struct deployment_config {
     std::uint64_t version = 0;
     std::vector<queue_policy> queues;
     std::size_t max_body_bytes = std::size_t{256} * 1024;
     std::set<std::string> zones_out;
-    // Grows with each change of zones_out.
+    // Increases with each change of zones_out.
     std::uint64_t zones_version = 0;
 };
 
--- a/state/ends_recorded.h
+++ b/state/ends_recorded.h
@@ -6,10 +6,10 @@
 
 namespace persimmonstile {
 
-// Owner to agent: the store holds what follows from these ends, or nothing follows from them any more. The
-// agent may acknowledge them to the backend server, which then forgets them.
+// Owner to agent: the results of these ended runs are in the store or are no longer needed. The agent may
+// acknowledge the ends to the backend server, which then forgets them.
 struct ends_recorded {
-    // Life of the backend server that listed the ends.
+    // Lifetime of the backend server that listed the ends, as in backend_profile.
     std::uint64_t backend_life = 0;
     std::vector<std::uint64_t> end_numbers;
 
--- a/state/entry_address.h
+++ b/state/entry_address.h
@@ -7,7 +7,7 @@
 
 namespace persimmonstile {
 
-// An entry and where other processes reach it, as "ip:port".
+// An entry and the address at which other processes reach it, as "ip:port".
 struct entry_address {
     incarnation entry;
     std::string address;
--- a/state/entry_hello.h
+++ b/state/entry_hello.h
@@ -7,7 +7,7 @@
 
 namespace persimmonstile {
 
-// First message of an entry on a connection to another entry or in answer to an agent's status.
+// First message of an entry on a connection to another entry, and its reply to an agent's status.
 struct entry_hello {
     incarnation entry;
     std::string address;
--- a/state/entry_welcome.h
+++ b/state/entry_welcome.h
@@ -8,16 +8,16 @@
 
 namespace persimmonstile {
 
-// Entry to agent, first on each connection and on every change: who the entry is, and what the agent needs to
-// know of the deployment.
+// Entry to agent, first on each connection and again on every change: identity of the entry, addresses of all
+// entries and excluded availability zones.
 struct entry_welcome {
-    // Owns the runs of jobs that are not kept.
+    // Owner of the runs of jobs that are not durable.
     incarnation process;
-    // Owns the runs of kept jobs. Number 0 while the entry has no session.
+    // Owner of the runs of durable jobs. The number is 0 while the entry has no session.
     incarnation session;
-    // Peer addresses of all entries.
+    // Peer addresses of all entries, as "ip:port".
     std::vector<std::string> entry_addresses;
-    // Availability zones that are out of service, and the version of that list.
+    // Availability zones that are out of service, and the version of this list.
     std::vector<std::string> zones_out;
     std::uint64_t zones_version = 0;
 
--- a/state/failure_reason.h
+++ b/state/failure_reason.h
@@ -5,7 +5,7 @@
 
 namespace persimmonstile {
 
-// Why a job failed. not_run promises that no task of the job was started or will be.
+// Why a job failed. not_run guarantees that no task of the job was started or will be.
 enum class failure_reason : std::uint8_t {
     not_run,
     task_failed,
--- a/state/forward_job.h
+++ b/state/forward_job.h
@@ -8,7 +8,7 @@
 
 namespace persimmonstile {
 
-// Entry to owner: a submission that arrived at another entry. The owner answers with job_result.
+// Entry to owner: a job submitted at an entry that does not own it. The owner replies with job_result.
 struct forward_job {
     caller_token token = 0;
     job_id job;
--- a/state/forward_lookup.h
+++ b/state/forward_lookup.h
@@ -6,7 +6,8 @@
 
 namespace persimmonstile {
 
-// Entry to owner: a GET (cancel false) or DELETE (cancel true) that arrived at another entry.
+// Entry to owner: a GET (cancel is false) or DELETE (cancel is true) received by an entry that does not own
+// the job. The owner replies with job_result.
 struct forward_lookup {
     caller_token token = 0;
     job_id job;
--- a/state/grant_request.h
+++ b/state/grant_request.h
@@ -9,8 +9,8 @@
 
 namespace persimmonstile {
 
-// Owner to grantor, every grant_renewal_interval: extend my grant. new_agents are incarnations that
-// this entry wants the grantor to record.
+// Owner to grantor, every grant_renewal_interval: renew the grant. new_agents are the incarnations that this
+// entry asks the grantor to record.
 struct grant_request {
     incarnation owner;
     table_version version = 0;
--- a/state/job_answer.h
+++ b/state/job_answer.h
@@ -7,10 +7,10 @@
 
 namespace persimmonstile {
 
-// The answer to a job_question with the same token.
+// The reply to the job_question with the same token.
 struct job_answer {
     std::uint64_t token = 0;
-    // The asked entry owns the job or has seen its end; otherwise state says nothing.
+    // The replying entry owns the job or knows that it has ended. If false, state has no meaning.
     bool is_known = false;
     job_state state = job_state::unknown;
 
--- a/state/job_outcome.h
+++ b/state/job_outcome.h
@@ -18,8 +18,9 @@
     static constexpr auto members() { return std::make_tuple(&job_complete::answers); }
 };
 
-// A job that ended without a whole answer. retry_after_ms is set on not_run refusals that may succeed later.
-// at_capacity tells a refusal because of load or quota (HTTP 429) from an unavailable service (503).
+// A job that ended without the results of all its tasks. retry_after_ms is set on not_run refusals that may
+// succeed later. at_capacity distinguishes a refusal because of load or quota (HTTP 429) from an unavailable
+// service (503).
 struct job_failed {
     failure_reason reason = failure_reason::outcome_unknown;
     std::string detail;
@@ -34,6 +35,7 @@
     }
 };
 
+// Final result of a job.
 using job_outcome = std::variant<job_complete, job_failed>;
 
 } // namespace persimmonstile
--- a/state/job_question.h
+++ b/state/job_question.h
@@ -7,7 +7,7 @@
 
 namespace persimmonstile {
 
-// Entry to the entry that owns a job: what is its state, or cancel it.
+// Entry to the owner of a job: report the job's state, or cancel the job.
 struct job_question {
     std::uint64_t token = 0;
     job_id job;
--- a/state/job_reply.h
+++ b/state/job_reply.h
@@ -21,12 +21,12 @@
     static constexpr auto members() { return std::make_tuple(); }
 };
 
-// This entry does not own the partition (any more); the asking entry looks up the owner again.
+// This entry does not own the partition, or no longer does. The requesting entry looks up the owner again.
 struct job_wrong_owner {
     static constexpr auto members() { return std::make_tuple(); }
 };
 
-// What an owner tells a caller or a forwarding entry about a job.
+// The reply of an owner about a job, to a caller or to a forwarding entry.
 using job_reply = std::variant<job_outcome, job_pending, job_not_found, job_conflict, job_wrong_owner>;
 
 } // namespace persimmonstile
--- a/state/job_spec.h
+++ b/state/job_spec.h
@@ -8,17 +8,18 @@
 
 namespace persimmonstile {
 
-// What a caller submitted, after syntax checks. Tasks and answers stay JSON text, which no hop but the
-// outer ones has to parse.
+// A job or single request as submitted, after syntax checks. Tasks and answers stay JSON text; only the entry
+// that serves the caller and the backend server parse it.
 struct job_spec {
     std::string service;
     std::string team;
     // Method of a single request; empty for a job.
     std::string method;
     std::vector<std::string> tasks;
-    // Time allowed from acceptance to the end, 0 for the service's default.
+    // Time allowed from the acceptance to the end; 0 for the service's default.
     std::int64_t deadline_ms = 0;
-    // SHA-256 of the canonical body in hexadecimal. Tells a resubmission from another job under the same id.
+    // SHA-256 of the canonical body in hexadecimal. Distinguishes a resubmission from another job with the
+    // same id.
     std::string digest;
 
     bool is_request() const { return !method.empty(); }
--- a/state/job_state.h
+++ b/state/job_state.h
@@ -6,12 +6,12 @@
 namespace persimmonstile {
 
 // State of a job as its caller sees it.
-//   unknown   nobody knows the job
+//   unknown   no entry knows the job
 //   queued    accepted, no task has started
 //   running   a task has started
-//   completed every task has ended with success
-//   failed    a task has failed as often as the queue allows
-//   cancelled by a caller
+//   completed every task has succeeded
+//   failed    a task has failed as many times as its queue allows
+//   cancelled a caller has cancelled the job
 enum class job_state : std::uint8_t { unknown, queued, running, completed, failed, cancelled };
 
 constexpr bool is_final(job_state state) {
--- a/state/job_status.h
+++ b/state/job_status.h
@@ -8,8 +8,8 @@
 
 namespace persimmonstile {
 
-// The record of a job under its id, for which every entry looks. The state of an open job is queued, whatever
-// its owner knows beyond that.
+// Stored record of a job under its id; any entry can look it up. The state of an open job is stored as
+// queued, even when its owner knows more.
 struct job_status {
     job_state state = job_state::queued;
     // Session that accepted the job.
--- a/state/job_step.h
+++ b/state/job_step.h
@@ -10,27 +10,27 @@
 
 namespace persimmonstile {
 
-// One step of a job: a number of equal tasks that may run in parallel.
+// One step of a job: a number of identical tasks that may run in parallel.
 struct job_step {
     std::uint32_t task_count = 0;
     resources task_needs;
-    // The caller's rough estimate of one task's run time; 0 if there is none.
+    // The caller's rough estimate of the run time of one task; 0 if there is none.
     std::int64_t estimate_ms = 0;
-    // Numbers of the steps whose tasks must all be done before a task of this one starts.
+    // Indexes of the steps whose tasks must all be done before a task of this step starts.
     std::vector<std::uint32_t> after;
     // Label that the backend server must have; empty for none.
     std::string required_label;
-    // Rack that holds the data; tasks run longer elsewhere. Empty for none.
+    // Rack that holds the data; tasks take longer on other racks. Empty for none.
     std::string data_rack;
-    // Most tasks of the step on one backend server; 0 for no bound.
+    // Maximum number of tasks of this step on one backend server; 0 for no limit.
     std::uint32_t max_per_backend = 0;
     // Tasks write checkpoints, from which a later run resumes.
     bool has_checkpoints = false;
     // All tasks start together and end together.
     bool is_gang = false;
-    // The tasks run longer when they are spread over racks.
+    // Tasks take longer when they are spread over several racks.
     bool prefers_one_rack = false;
-    // Copies of a task may run in parallel; the first that is done counts.
+    // Copies of a task may run in parallel; the first one that finishes counts.
     bool allows_copies = false;
 
     std::chrono::milliseconds estimate() const { return std::chrono::milliseconds{estimate_ms}; }
--- a/state/limits.h
+++ b/state/limits.h
@@ -6,8 +6,8 @@
 
 namespace persimmonstile {
 
-// Grants. The period bounds how long a deposed owner can still act, and with it the time until a zone
-// exclusion is certain; five renewals fit into it, so that two lost renewals do no harm.
+// Grants. The period limits how long a deposed owner can still act, and so the time until an availability
+// zone is known to be excluded. Five renewals fit into one period, so two lost renewals do no harm.
 constexpr std::chrono::milliseconds grant_period{1500};
 constexpr std::chrono::milliseconds grant_renewal_interval{300};
 
@@ -17,48 +17,50 @@
 // An owner that sent no grant request for this long is reported as silent.
 constexpr std::chrono::milliseconds owner_silence_limit{1000};
 
-// An agent pings the entries to learn that its view is current.
+// Interval at which an agent pings the entries to confirm that its view is current.
 constexpr std::chrono::milliseconds view_ping_interval{300};
 
-// Idle connections send a heartbeat; one without any bytes for the silence limit is closed and replaced.
+// Idle connections send a heartbeat. A connection that received no bytes for connection_silence_limit is
+// closed and replaced.
 constexpr std::chrono::milliseconds heartbeat_interval{300};
 constexpr std::chrono::milliseconds connection_silence_limit{900};
 
-// An agent keeps runs going for this long without news of their owner. Longer than the restart of an entry,
-// so that its successor still finds them; short, because a successor that cannot reach the agent waits for
-// it.
+// An agent keeps runs going for this long without contact to their owner. It is longer than the restart of an
+// entry, so the successor still finds the runs. It is short because a successor that cannot reach the agent
+// waits for it.
 constexpr std::chrono::milliseconds owner_contact_lease{1800};
 
-// A caller whose connection broke sends its job again after this time at the earliest, unless the settings
-// name another.
+// A caller whose connection broke resends its job after this time at the earliest, unless the settings give
+// another value.
 constexpr std::chrono::milliseconds usual_caller_resend{1300};
 
-// The same as owner_contact_lease for jobs that live with their caller's call. When the job comes again the
-// runs must have ended: a stop that is lost twice, its execution, and the ways in between are allowed for.
-// Below the shortest value an entry that is busy for a moment would lose its runs.
+// Same as owner_contact_lease, for jobs that are not durable. The runs must have ended when the caller
+// resends the job. The allowance covers a stop order that is lost twice, its execution and the network
+// delays. With a lease below the minimum, an entry that is busy for a moment would lose its runs.
 constexpr std::chrono::milliseconds caller_contact_lease(std::chrono::milliseconds caller_resend) {
     constexpr std::chrono::milliseconds end_of_runs{400};
     constexpr std::chrono::milliseconds shortest{400};
     return std::max(caller_resend - end_of_runs, shortest);
 }
 
-// An agent that cannot be reached for this long is given up: its tasks have an unknown outcome.
+// An agent that is unreachable for this long is considered lost: its tasks get an unknown outcome.
 constexpr std::chrono::milliseconds agent_loss_timeout{5000};
 
-// An announcement of a backend server that is not repeated for this long ends its membership.
+// A backend server whose announcement is not repeated for this long is no longer a member.
 constexpr std::chrono::milliseconds announcement_lifetime{1500};
 
-// Ended jobs and task records are remembered for this long to answer resubmissions.
+// Ended jobs and task records are kept for this long to answer resubmissions.
 constexpr std::chrono::seconds deduplication_window{300};
 
-// Largest difference between the calendar clocks of two machines that the id rules tolerate.
+// Maximum difference between the calendar clocks of two machines that the rules for job ids tolerate.
 constexpr std::chrono::milliseconds clock_skew_limit{2000};
 
-// Memory for the ended jobs of one shard of an entry, which has 8. At 200 bytes an answer an entry keeps the
-// answers of about 9,000 tasks a second over the deduplication window; beyond it new jobs are refused.
+// Memory for the ended jobs of one shard. An entry has 8 shards. With 200 bytes per answer, an entry keeps
+// the answers of about 9,000 tasks per second over the deduplication window. Beyond that, new jobs are
+// refused.
 constexpr std::size_t max_retained_bytes_per_shard = std::size_t{64} * 1024 * 1024;
 
-// Bounds on one submission.
+// Limits on one submission.
 constexpr std::size_t max_tasks_per_job = 560;
 constexpr std::size_t max_request_body_bytes = std::size_t{4} * 1024 * 1024;
 
--- a/state/member_agent.h
+++ b/state/member_agent.h
@@ -5,7 +5,7 @@
 
 namespace persimmonstile {
 
-// The record of an agent that may have runs.
+// Stored record of an agent that may have runs.
 struct member_agent {
     std::string name;
     std::string zone;
--- a/state/member_entry.h
+++ b/state/member_entry.h
@@ -7,12 +7,13 @@
 
 namespace persimmonstile {
 
-// The record of an entry under its name: the session that may write, and where other processes reach it.
+// Stored record of an entry under its name: the session that may write, and the address at which other
+// processes reach the entry.
 struct member_entry {
     incarnation session;
     std::string peer_address;
     std::string zone;
-    // The process ends; its jobs may be adopted at once.
+    // The process is shutting down; its jobs may be adopted immediately.
     bool is_leaving = false;
 
     static constexpr auto members() {
--- a/state/open_job.h
+++ b/state/open_job.h
@@ -10,11 +10,11 @@
 
 namespace persimmonstile {
 
-// The record of a job that has not ended. It holds all that a successor of its owner needs.
+// Stored record of a job that has not ended. It holds everything that a successor of its owner needs.
 struct open_job {
     std::string queue;
     std::string service;
-    // Runs that a task may fail before its job has failed.
+    // Number of failed runs of one task after which the job fails.
     std::uint32_t attempts = 1;
     // Calendar time of the acceptance, in milliseconds since 1970.
     std::int64_t accepted_ms = 0;
--- a/state/owner_pong.h
+++ b/state/owner_pong.h
@@ -5,12 +5,12 @@
 
 namespace persimmonstile {
 
-// Entry to agent, in answer to view_ping, or with start_runs: the entry was there at sent_ns on the agent's
-// clock. Counting from the agent's sending time makes delays on the way shorten what follows and never extend
-// it. 0 says nothing.
+// Entry to agent, in reply to view_ping or with start_runs: the entry was alive at sent_ns on the agent's
+// clock. Time is counted from the agent's sending time, so network delays only shorten leases and never
+// extend them. 0 carries no information.
 struct owner_pong {
     std::int64_t sent_ns = 0;
-    // The session is not known to be deposed, and the store was heard of lately.
+    // The session is not known to be deposed, and the entry had contact with the store recently.
     bool is_session_certain = false;
 
     static constexpr auto members() {
--- a/state/owner_table.h
+++ b/state/owner_table.h
@@ -10,9 +10,9 @@
 
 namespace persimmonstile {
 
-// Who owns which partition. Lives in the store; processes hold copies and replace them only by newer
-// versions. partitions has partition_count elements once version is not 0. grantors are names of agents.
-// writer and operation_id let a writer whose answer was lost recognise its own write.
+// The owner of each partition. The table is kept in the store; processes hold copies and replace them only
+// with newer versions. partitions has partition_count elements unless version is 0. grantors are names of
+// agents. writer and operation_id let a writer that got no reply recognize its own write.
 struct owner_table {
     table_version version = 0;
     std::vector<partition_owner> partitions;
--- a/state/partition_handover.h
+++ b/state/partition_handover.h
@@ -9,16 +9,16 @@
 namespace persimmonstile {
 
 // Former owner to its direct successor, when it learns that it lost the partition: the hashes of all jobs of
-// the partition that it knows, and since when it knew every new one. The successor then treats ids as new
-// that the former owner would have treated as new, and need not ask agents about them. A former owner that
-// died sends none.
+// the partition that it knows, and the time since which it knows every new job. The successor then treats an
+// id as new if the former owner would have done so, and need not query agents about it. A former owner that
+// crashed sends no handover.
 struct partition_handover {
     partition_id partition = 0;
     // Epoch that the former owner held.
     epoch_number epoch = 0;
-    // No owner existed before the former one.
+    // There was no owner before the former one.
     bool first_epoch = false;
-    // Calendar time at which the former owner's knowledge begins.
+    // Calendar time in nanoseconds since which the former owner knows every new job.
     std::int64_t known_since_ns = 0;
     std::vector<std::uint64_t> jobs;
 
--- a/state/peer_introduction.h
+++ b/state/peer_introduction.h
@@ -7,10 +7,10 @@
 
 namespace persimmonstile {
 
-// Entry to entry, first on each connection and whenever the session changes.
+// Entry to entry, first on each connection and again whenever the session changes: identity of the sender.
 struct peer_introduction {
     std::string name;
-    // Number 0 while the entry has no session.
+    // The number is 0 while the entry has no session.
     incarnation session;
 
     static constexpr auto members() {
--- a/state/queue_count.h
+++ b/state/queue_count.h
@@ -6,7 +6,7 @@
 
 namespace persimmonstile {
 
-// Jobs of one queue at one entry that were accepted and have not begun.
+// Number of jobs of one queue at one entry that are accepted and have not begun.
 struct queue_count {
     std::string queue;
     std::uint64_t pending = 0;
--- a/state/queue_counts.h
+++ b/state/queue_counts.h
@@ -8,11 +8,11 @@
 
 namespace persimmonstile {
 
-// Entry to entry: its counts of all queues, and how new its configuration is. Queues that are not listed
-// count 0.
+// Entry to entry: the sender's counts for all queues, and the revision of its configuration. A queue that is
+// not listed has the count 0.
 struct queue_counts {
     std::vector<queue_count> counts;
-    // Revision of the store at the last change of the operators' records that the entry knows.
+    // Store revision of the latest change to the operators' records that the entry knows.
     std::uint64_t config_revision = 0;
 
     static constexpr auto members() {
--- a/state/queue_policy.h
+++ b/state/queue_policy.h
@@ -6,18 +6,19 @@
 
 namespace persimmonstile {
 
-// How the jobs of one queue are treated, and which calls reach it.
+// Scheduling settings of one queue, and the host and path that select it.
 struct queue_policy {
     std::string name;
-    // Callers reach the queue by this host and the longest path prefix that fits.
+    // Requests to this host whose path starts with path_prefix go to this queue. The longest matching prefix
+    // is used.
     std::string host;
     std::string path_prefix;
     std::string service;
-    // Runs that a task may fail before its job has failed.
+    // Number of failed runs of one task after which the job fails.
     std::uint32_t attempts = 1;
-    // 0 goes first.
+    // 0 is the highest priority.
     std::uint32_t priority = 0;
-    // A job is in time within stretch times its longest chain of work, and slack more.
+    // A job is in time if it takes no longer than stretch times its critical path, plus slack.
     double stretch = 1;
     std::chrono::milliseconds slack{0};
 };
--- a/state/recovery_reply.h
+++ b/state/recovery_reply.h
@@ -9,8 +9,8 @@
 
 namespace persimmonstile {
 
-// One grantor's answer to recovery_request, passed on by the entry. A grantor that recovers itself does not
-// answer.
+// One grantor's reply to recovery_request, passed on by the entry. A grantor that is itself recovering does
+// not reply.
 struct recovery_reply {
     incarnation asker;
     std::uint64_t nonce = 0;
--- a/state/recovery_request.h
+++ b/state/recovery_request.h
@@ -7,8 +7,8 @@
 
 namespace persimmonstile {
 
-// A restarted grantor asks the others, through an entry, what they acknowledged. The nonce ties the answers
-// to this question, so that an entry cannot answer from an old copy.
+// A restarted grantor asks the other grantors, through an entry, what they acknowledged. The nonce ties the
+// replies to this request, so an entry cannot reply with an old copy.
 struct recovery_request {
     incarnation asker;
     std::uint64_t nonce = 0;
--- a/state/relayed_call.h
+++ b/state/relayed_call.h
@@ -8,10 +8,10 @@
 
 namespace persimmonstile {
 
-// A process that does not reach the store asks a peer to make the call.
+// Asks a peer to make a store call for a process that cannot reach the store.
 struct relayed_call {
     std::uint64_t token = 0;
-    // The peer waits for the store so long.
+    // Time for which the peer waits for the store.
     std::int64_t timeout_ms = 0;
     store_call call;
 
--- a/state/resources.h
+++ b/state/resources.h
@@ -5,7 +5,7 @@
 
 namespace persimmonstile {
 
-// What a task needs of a backend server, or what a backend server has. Differences may be negative.
+// Amounts of resources that a task needs or a backend server has. Differences may be negative.
 struct resources {
     // Thousandths of a processor core.
     std::int64_t cpu_millicores = 0;
--- a/state/revoke.h
+++ b/state/revoke.h
@@ -8,8 +8,8 @@
 
 namespace persimmonstile {
 
-// Owner to agent: do not start these tasks. The agent answers for each: not_started, or its present state. It
-// refuses the dispatch of a named attempt that arrives after this message.
+// Owner to agent: do not start these tasks. The agent reports each task as not_started or with its current
+// state. It refuses a dispatch of the listed attempts that arrives after this message.
 struct revoke {
     partition_id partition = 0;
     epoch_number epoch = 0;
--- a/state/run_inventory.h
+++ b/state/run_inventory.h
@@ -9,14 +9,15 @@
 
 namespace persimmonstile {
 
-// Agent to entry: all runs that the agent knows of one owner. What the owner ordered with the start messages
-// that are included and is not listed has not started and never will.
+// Agent to entry: all runs of one owner that the agent knows. A run that was ordered in one of the start
+// messages counted here and is not listed has not started and never will.
 struct run_inventory {
-    // Session of the owner, or of the deposed owner that the entry succeeded. Empty name for runs whose owner
-    // the agent does not know.
+    // Session or process of the owner, or the session of a deposed owner that the entry succeeded. The name
+    // is empty for runs whose owner the agent does not know.
     incarnation owner;
     std::vector<run_report> reports;
-    // Start messages of the entry on this connection that came before.
+    // Number of start messages that the agent received from the entry on this connection before it sent the
+    // inventory.
     std::uint64_t starts_seen = 0;
 
     static constexpr auto members() {
--- a/state/run_ref.h
+++ b/state/run_ref.h
@@ -8,10 +8,10 @@
 
 namespace persimmonstile {
 
-// Counts the runs of one task, from 1. A later run has a higher number; numbers may be left out.
+// Number of a run of one task, from 1. A later run has a higher number; numbers may be skipped.
 using run_number = std::uint64_t;
 
-// Names one run of one task.
+// Identifies one run of one task.
 struct run_ref {
     task_ref task;
     run_number run = 0;
--- a/state/run_refusal.h
+++ b/state/run_refusal.h
@@ -5,7 +5,7 @@
 
 namespace persimmonstile {
 
-// Why a run was refused, or why an agent ended one.
+// Why an agent refused a run or ended it.
 enum class run_refusal : std::uint8_t {
     none,
     owner_deposed,
--- a/state/run_reports.h
+++ b/state/run_reports.h
@@ -9,11 +9,13 @@
 
 namespace persimmonstile {
 
-// Agent to entry: news of runs, and the room that is left after them. Without reports it only tells the room.
+// Agent to entry: changes of runs, and the agent's free capacity after them. Without reports the message only
+// updates the free capacity.
 struct run_reports {
     std::vector<run_report> reports;
     agent_room room;
-    // The agent's clock at the sending, as in view_ping. The entry echoes it with its next start_runs.
+    // The agent's clock when it sent the message, as in view_ping. The entry returns it in its next
+    // start_runs.
     std::int64_t sent_ns = 0;
 
     static constexpr auto members() {
--- a/state/run_start.h
+++ b/state/run_start.h
@@ -19,7 +19,7 @@
     resources needs;
     // Checkpoint to resume from; empty for none.
     std::string checkpoint;
-    // Expected run time at this backend server; 0 if nothing is known of it.
+    // Expected run time at this backend server; 0 if unknown.
     std::int64_t expected_ms = 0;
 
     std::chrono::milliseconds expected() const { return std::chrono::milliseconds{expected_ms}; }
--- a/state/run_state.h
+++ b/state/run_state.h
@@ -5,17 +5,17 @@
 
 namespace persimmonstile {
 
-// What an agent knows of one run.
-//   queued     accepted, waits at the agent for room
-//   starting   ordered at the backend server, not yet confirmed
+// State of one run, as known to its agent.
+//   queued     accepted, waits at the agent for free capacity
+//   starting   start order sent to the backend server, not yet confirmed
 //   running    confirmed by the backend server
-//   done       ended with success
-//   failed     ended by its own fault or the backend server's
-//   stopped    ended by an order
-//   lapsed     ended because its lease was not renewed, or lost with the backend server
+//   done       ended successfully
+//   failed     ended through its own fault or the backend server's
+//   stopped    ended by a stop order
+//   lapsed     ended because its lease expired, or lost with the backend server
 //   broken     ended because another task of its gang ended
-//   alone      ended because the other tasks of its gang did not come
-//   refused    has not started and never will under this run number
+//   alone      ended because the other tasks of its gang did not start
+//   refused    not started, and never will be under this run number
 enum class run_state : std::uint8_t {
     queued,
     starting,
@@ -29,7 +29,7 @@
     refused
 };
 
-// No further change follows.
+// Whether the state can no longer change.
 constexpr bool is_final(run_state state) {
     return state >= run_state::done;
 }
--- a/state/start_runs.h
+++ b/state/start_runs.h
@@ -19,9 +19,9 @@
     std::string payload;
     std::vector<run_start> runs;
     bool is_kept = true;
-    // After this time nobody waits for the job any more and its runs are ended; 0 for no such time.
+    // Time left until no caller waits for the job. Its runs are then ended. 0 for no limit.
     std::int64_t remaining_ms = 0;
-    // Answers the newest clock reading of the agent that the entry has seen.
+    // Reply to the latest clock reading that the entry received from the agent.
     owner_pong pong;
 
     std::chrono::milliseconds remaining() const { return std::chrono::milliseconds{remaining_ms}; }
--- a/state/store_call.h
+++ b/state/store_call.h
@@ -12,7 +12,7 @@
 
 namespace persimmonstile {
 
-// All changes take effect if every condition holds, and none otherwise.
+// Transaction: all changes take effect if every condition holds, otherwise none does.
 struct store_write {
     std::vector<store_condition> conditions;
     std::vector<store_put> puts;
@@ -23,13 +23,14 @@
     }
 };
 
+// Reads one key.
 struct store_read {
     std::string key;
 
     static constexpr auto members() { return std::make_tuple(&store_read::key); }
 };
 
-// One page of the keys that begin with prefix, in order, after the given key.
+// Lists one page of the keys that begin with prefix, in order. The page starts after the key after_key.
 struct store_list {
     std::string prefix;
     std::string after_key;
@@ -37,7 +38,7 @@
     static constexpr auto members() { return std::make_tuple(&store_list::prefix, &store_list::after_key); }
 };
 
-// Waits for a change of a key that begins with prefix, later than the revision.
+// Waits for a change after the given revision to a key that begins with prefix.
 struct store_watch {
     std::string prefix;
     std::uint64_t after_revision = 0;
@@ -50,6 +51,7 @@
     }
 };
 
+// Creates a lease.
 struct lease_open {
     std::int64_t time_to_live_ms = 0;
 
@@ -58,19 +60,21 @@
     static constexpr auto members() { return std::make_tuple(&lease_open::time_to_live_ms); }
 };
 
+// Extends a lease by its time to live.
 struct lease_renew {
     std::uint64_t lease = 0;
 
     static constexpr auto members() { return std::make_tuple(&lease_renew::lease); }
 };
 
+// Ends a lease. The store removes the keys that were set with it.
 struct lease_close {
     std::uint64_t lease = 0;
 
     static constexpr auto members() { return std::make_tuple(&lease_close::lease); }
 };
 
-// A call to the store, as data: the decision logic asks for it, and any process that reaches the store can
+// A call to the store, as data. The decision logic returns it, and any process that reaches the store can
 // make it.
 using store_call =
     std::variant<store_write, store_read, store_list, store_watch, lease_open, lease_renew, lease_close>;
--- a/state/store_condition.h
+++ b/state/store_condition.h
@@ -6,7 +6,7 @@
 
 namespace persimmonstile {
 
-// The key must have this revision; 0 means that it must not exist.
+// Condition of a write: the key must have this revision. 0 means that the key must not exist.
 struct store_condition {
     std::string key;
     std::uint64_t revision = 0;
--- a/state/store_item.h
+++ b/state/store_item.h
@@ -8,7 +8,7 @@
 
 namespace persimmonstile {
 
-// A key of the store with its value. The revision is that of the last change; 0 means that the key does not
+// A key of the store with its value. revision is the one of the latest change; 0 means that the key does not
 // exist.
 struct store_item {
     std::string key;
--- a/state/store_put.h
+++ b/state/store_put.h
@@ -8,11 +8,11 @@
 
 namespace persimmonstile {
 
-// Sets a key. With a lease the store removes it when the lease ends.
+// Sets a key. If a lease is given, the store removes the key when the lease ends.
 struct store_put {
     std::string key;
     stored_record value;
-    // 0 for none.
+    // 0 for no lease.
     std::uint64_t lease = 0;
 
     static constexpr auto members() {
--- a/state/store_reply.h
+++ b/state/store_reply.h
@@ -10,31 +10,34 @@
 
 namespace persimmonstile {
 
-// The write took effect with this revision.
+// The write took effect at this revision.
 struct write_applied {
     std::uint64_t revision = 0;
 
     static constexpr auto members() { return std::make_tuple(&write_applied::revision); }
 };
 
-// A condition did not hold and nothing was written. items are the keys of all conditions as they are.
+// A condition did not hold and nothing was written. items holds the current state of the keys of all
+// conditions.
 struct write_conflict {
     std::vector<store_item> items;
 
     static constexpr auto members() { return std::make_tuple(&write_conflict::items); }
 };
 
+// The key that was read exists.
 struct item_found {
     store_item item;
 
     static constexpr auto members() { return std::make_tuple(&item_found::item); }
 };
 
+// The key that was read does not exist.
 struct item_missing {
     static constexpr auto members() { return std::make_tuple(); }
 };
 
-// One page. Pages together are not a snapshot; changes after revision may be missing.
+// One page of a listing. The pages together are not a snapshot: changes after revision may be missing.
 struct item_listing {
     std::vector<store_item> items;
     bool has_more = false;
@@ -45,7 +48,7 @@
     }
 };
 
-// Changes in their order. A deletion is an item without value and with revision 0.
+// Changes in the order in which they were made. A deletion is an item without value and with revision 0.
 struct item_changes {
     std::vector<store_item> items;
     std::uint64_t revision = 0;
@@ -53,11 +56,12 @@
     static constexpr auto members() { return std::make_tuple(&item_changes::items, &item_changes::revision); }
 };
 
-// The changes after the revision of the watch are no longer kept.
+// The store no longer has the changes after the revision that the watch gave.
 struct history_lost {
     static constexpr auto members() { return std::make_tuple(); }
 };
 
+// The lease was created or renewed.
 struct lease_valid {
     std::uint64_t lease = 0;
     std::int64_t time_to_live_ms = 0;
@@ -67,15 +71,15 @@
     }
 };
 
-// The lease of a write, or the one to be renewed, has ended.
+// The lease to be renewed, or the lease that a write used, has ended.
 struct lease_missing {
     static constexpr auto members() { return std::make_tuple(); }
 };
 
-// No usable answer.
+// The call failed or got no usable reply.
 struct store_failure {
     std::string detail;
-    // The call may have been carried out, or may be later.
+    // The call may have been carried out already, or may still be carried out later.
     bool may_have_applied = false;
 
     static constexpr auto members() {
@@ -83,6 +87,7 @@
     }
 };
 
+// The reply to a store_call.
 using store_reply = std::variant<store_failure, write_applied, write_conflict, item_found, item_missing,
                                  item_listing, item_changes, history_lost, lease_valid, lease_missing>;
 
--- a/state/stored_record.h
+++ b/state/stored_record.h
@@ -11,8 +11,8 @@
 
 namespace persimmonstile {
 
-// The value of a key. Text stands for values that other systems wrote, as they are. The position of an
-// alternative is its code in the store, so new ones go last.
+// The value of a key. The string alternative holds values written by other systems, unchanged. The index of
+// an alternative is its code in the store, so new alternatives are added at the end.
 using stored_record = std::variant<std::string, job_status, open_job, member_entry, adoption, member_agent>;
 
 } // namespace persimmonstile
--- a/state/table_ack.h
+++ b/state/table_ack.h
@@ -8,8 +8,8 @@
 
 namespace persimmonstile {
 
-// Grantor to entry: the newest table version it acknowledges, and every agent incarnation on its record.
-// From then on it refuses grants under older versions.
+// Grantor to entry: the latest table version that the grantor acknowledges, and every agent incarnation that
+// it has on record. From then on the grantor refuses grants under older versions.
 struct table_ack {
     incarnation grantor;
     table_version version = 0;
--- a/state/table_push.h
+++ b/state/table_push.h
@@ -6,7 +6,7 @@
 
 namespace persimmonstile {
 
-// Carries the owner table to a process that has an older one.
+// Sends the owner table to a process that has an older version.
 struct table_push {
     owner_table table;
 
--- a/state/task_attempt.h
+++ b/state/task_attempt.h
@@ -7,7 +7,7 @@
 
 namespace persimmonstile {
 
-// One dispatch of one task within an epoch.
+// Identifies one dispatch of one task within an epoch.
 struct task_attempt {
     task_index index = 0;
     std::uint32_t attempt = 0;
--- a/state/task_message.h
+++ b/state/task_message.h
@@ -14,8 +14,8 @@
 
 namespace persimmonstile {
 
-// Every message of the task plane. The position of an alternative is its code on the wire, so new ones go
-// last.
+// Any message of the task plane. The index of an alternative is its code on the wire, so new alternatives are
+// added at the end.
 using task_message = std::variant<dispatch, revoke, query_job, task_reports, job_report, forward_job,
                                   forward_lookup, job_result, partition_handover>;
 
--- a/state/task_payload.h
+++ b/state/task_payload.h
@@ -8,12 +8,12 @@
 
 namespace persimmonstile {
 
-// One task inside a dispatch. body is the JSON text that the backend server receives.
+// One task of a dispatch. body is the JSON text that the backend server receives.
 struct task_payload {
     task_index index = 0;
-    // Counts the dispatches of this task within one epoch. An agent that refused an attempt takes only a
-    // later one, so that a delayed copy of the refused dispatch cannot start the task after it went
-    // elsewhere.
+    // Number of this dispatch of the task within one epoch. An agent that refused an attempt accepts only a
+    // later one, so a delayed copy of the refused dispatch cannot start the task after it was sent to another
+    // agent.
     std::uint32_t attempt = 0;
     std::string body;
 
--- a/state/task_progress.h
+++ b/state/task_progress.h
@@ -8,13 +8,14 @@
 
 namespace persimmonstile {
 
-// What must outlive the owner of one task of an open job. Tasks without progress are left out.
+// Progress of one task of an open job that must survive the job's owner. Tasks without progress are not
+// stored.
 struct task_progress {
     std::uint32_t occurrence = 0;
     std::uint32_t step = 0;
     task_index index = 0;
     bool is_done = false;
-    // Runs that ended by their own fault or the backend server's.
+    // Number of runs that failed, through their own fault or that of the backend server.
     std::uint32_t failures = 0;
     std::string checkpoint;
 
--- a/state/task_ref.h
+++ b/state/task_ref.h
@@ -8,7 +8,7 @@
 
 namespace persimmonstile {
 
-// Names one task of a job.
+// Identifies one task of a job.
 struct task_ref {
     job_id job;
     // Occurrence of a repeated job, from 0.
--- a/state/task_report.h
+++ b/state/task_report.h
@@ -11,16 +11,16 @@
 
 namespace persimmonstile {
 
-// What happened to one task on one agent.
+// Result or state of one task on one agent.
 struct task_report {
     task_index index = 0;
-    // The attempt that the report belongs to. The owner ignores reports of earlier attempts.
+    // The attempt that the report refers to. The owner ignores reports about earlier attempts.
     std::uint32_t attempt = 0;
     task_status status = task_status::unknown;
     refusal reason = refusal::none;
-    // The answer's JSON text if succeeded, otherwise a description of the error.
+    // JSON text of the answer if the task succeeded, otherwise a description of the error.
     std::string text;
-    // Time between acceptance by the agent and the start, and between the start and the end.
+    // Time from the acceptance by the agent to the start, and from the start to the end.
     std::int64_t queue_us = 0;
     std::int64_t run_us = 0;
 
--- a/state/task_reports.h
+++ b/state/task_reports.h
@@ -11,7 +11,7 @@
 
 namespace persimmonstile {
 
-// Agent to owner: results and refusals of tasks of one job.
+// Agent to owner: results and refusals of tasks of one job, with the agent's current load.
 struct task_reports {
     incarnation agent;
     epoch_number epoch = 0;
--- a/state/team_policy.h
+++ b/state/team_policy.h
@@ -5,12 +5,12 @@
 
 namespace persimmonstile {
 
-// Effective settings of one team after defaults and exceptions.
+// Effective settings of one team, after defaults and exceptions are applied.
 struct team_policy {
     std::string name;
-    // Relative share of the capacity when teams compete.
+    // Relative share of the capacity when teams compete for it.
     std::uint32_t share = 1;
-    // Tasks of the team that run at once in the whole cell; 0 means no bound.
+    // Maximum number of running tasks of the team in the whole cell; 0 means no limit.
     std::uint32_t max_running = 0;
 };
 
--- a/state/time.h
+++ b/state/time.h
@@ -5,9 +5,9 @@
 
 namespace persimmonstile {
 
-// Tag for a clock that never jumps and keeps counting while the machine is suspended (CLOCK_BOOTTIME on
-// Linux). A clock that stops during suspension would let a resumed process believe that its grants still
-// hold. Values come from clock_source, so the tag has no now().
+// Clock type for time points of a clock that never jumps and keeps counting while the machine is suspended
+// (CLOCK_BOOTTIME on Linux). With a clock that stops during suspension, a resumed process would believe that
+// its grants are still valid. Values come from clock_source, so the type has no now().
 struct boot_clock {
     using duration = std::chrono::nanoseconds;
     using rep = duration::rep;
@@ -21,7 +21,7 @@
 using milliseconds = std::chrono::milliseconds;
 using microseconds = std::chrono::microseconds;
 
-// Calendar time in milliseconds since 1970, as records hold it.
+// Converts to calendar time in milliseconds since 1970, as stored in records.
 inline std::int64_t calendar_ms(wall_time wall) {
     return std::chrono::duration_cast<milliseconds>(wall.time_since_epoch()).count();
 }
--- a/state/uuid_time.h
+++ b/state/uuid_time.h
@@ -7,7 +7,7 @@
 
 namespace persimmonstile {
 
-// Creation time inside a UUIDv7 in its usual text form (RFC 9562), nullopt for any other id.
+// Creation time of a UUIDv7 in its usual text form (RFC 9562); nullopt for any other id.
 std::optional<wall_time> uuid_time(const job_id& job);
 
 } // namespace persimmonstile
--- a/state/view_ping.h
+++ b/state/view_ping.h
@@ -5,7 +5,7 @@
 
 namespace persimmonstile {
 
-// Agent to entry, every view_ping_interval: its own clock reading, which the entry echoes in view_pong.
+// Agent to entry, every view_ping_interval: the agent's clock reading, which the entry returns in view_pong.
 struct view_ping {
     std::int64_t sent_ns = 0;
 
--- a/state/work_message.h
+++ b/state/work_message.h
@@ -22,8 +22,8 @@
 
 namespace persimmonstile {
 
-// Every message between the daemons of a deployment whose jobs are kept in the store. The position of an
-// alternative is its code on the wire, so new ones go last.
+// Any message between the daemons of a deployment that keeps its jobs in the store. The index of an
+// alternative is its code on the wire, so new alternatives are added at the end.
 using work_message =
     std::variant<agent_profile, entry_welcome, view_ping, owner_pong, start_runs, stop_runs, run_reports,
                  ends_recorded, owner_succession, run_inventory, claim_runs, peer_introduction, job_question,
