--- a/tests/commit_queue_test.cpp
+++ b/tests/commit_queue_test.cpp
@@ -9,6 +9,7 @@
 namespace persimmonstile {
 namespace {
 
+// Drives one commit_queue directly and answers its writes to the store.
 class commit_queue_test : public testing::Test {
 protected:
     const incarnation session_{"entry", 7};
@@ -27,9 +28,9 @@
     }
 };
 
-// Guards against a write a job when many arrive together, and against writes that are larger than the store
-// takes.
-TEST_F(commit_queue_test, collects_what_arrives_while_a_write_is_on_its_way) {
+// Guards against one write for each job when many arrive together, and against writes with more operations
+// than the store accepts.
+TEST_F(commit_queue_test, batches_jobs_that_arrive_while_a_write_is_in_flight) {
     accept("first");
     ASSERT_EQ(queue_.take_writes(now_).size(), 1U);
     for (int i = 0; i < 25; ++i)
@@ -43,8 +44,8 @@
     EXPECT_EQ(call.conditions[0], (store_condition{entry_key("entry"), entry_revision}));
 }
 
-// Guards against one known job that makes all others of its write fail.
-TEST_F(commit_queue_test, answers_a_conflicting_job_and_writes_the_others_again) {
+// Guards against one conflicting job that makes all other jobs of its write fail.
+TEST_F(commit_queue_test, reports_a_conflict_and_retries_the_other_jobs_of_the_write) {
     accept("known");
     accept("fresh");
     const auto writes = queue_.take_writes(now_);
@@ -63,9 +64,9 @@
     EXPECT_EQ(again[0].call.conditions[1].key, job_key("fresh"));
 }
 
-// Guards against a job that was written by an attempt without an answer and is then taken for somebody
-// else's.
-TEST_F(commit_queue_test, recognises_its_own_record_after_a_missing_answer) {
+// Guards against a conflict with the session's own record: an unacknowledged attempt wrote the job, and the
+// retry finds it in the store.
+TEST_F(commit_queue_test, recognizes_its_own_record_after_an_unanswered_write) {
     accept("a");
     const auto writes = queue_.take_writes(now_);
     queue_.replied(writes[0].id, store_failure{"no answer", true}, now_);
@@ -80,8 +81,9 @@
     EXPECT_EQ(results[0].outcome, commit_outcome::durable);
 }
 
-// Guards against an untrue "not accepted": the first attempt may still be carried out.
-TEST_F(commit_queue_test, never_abandons_a_job_whose_write_got_no_answer) {
+// Guards against reporting a job as not accepted while the store may still apply the unacknowledged first
+// write.
+TEST_F(commit_queue_test, does_not_abandon_a_job_after_an_unanswered_write) {
     accept("a");
     auto writes = queue_.take_writes(now_);
     queue_.replied(writes[0].id, store_failure{"no answer", true}, now_);
@@ -107,8 +109,8 @@
     EXPECT_TRUE(queue_.is_empty());
 }
 
-// Guards against ends that are lost because the store is away for a while.
-TEST_F(commit_queue_test, writes_an_end_until_the_store_takes_it) {
+// Guards against losing the end of a job when the store refuses writes for 10 s.
+TEST_F(commit_queue_test, retries_an_end_until_the_store_applies_it) {
     queue_.add({"a", commit_end{session_, {}}}, now_);
     for (int i = 0; i < 200; ++i) {
         for (const auto& write : queue_.take_writes(now_))
@@ -122,16 +124,16 @@
     EXPECT_EQ(queue_.take_results().size(), 1U);
 }
 
-// Guards against a deposed session that goes on.
-TEST_F(commit_queue_test, notices_that_its_session_is_deposed) {
+// Guards against a session that continues after it was deposed.
+TEST_F(commit_queue_test, detects_a_deposed_session) {
     accept("a");
     const auto writes = queue_.take_writes(now_);
     EXPECT_TRUE(queue_.replied(writes[0].id, write_conflict{{entry_item(41)}}, now_));
     EXPECT_FALSE(queue_.has_session());
 }
 
-// Guards against progress that is given up because an earlier attempt has changed the revision.
-TEST_F(commit_queue_test, writes_progress_with_the_present_revision) {
+// Guards against dropping progress because an earlier attempt has changed the revision of the record.
+TEST_F(commit_queue_test, retries_progress_with_the_current_revision) {
     auto record = std::make_shared<open_job>();
     record->progress.push_back({0, 0, 1, true, 0, {}});
     queue_.add({"a", commit_progress{session_, record, 30}}, now_);
@@ -148,8 +150,8 @@
     EXPECT_EQ(results[0].revision, 35U);
 }
 
-// Guards against a store that is slow and gets every write again and again.
-TEST_F(commit_queue_test, waits_longer_after_each_missing_answer) {
+// Guards against repeated retries that overload a slow store: each unanswered write increases the timeout.
+TEST_F(commit_queue_test, increases_the_timeout_after_an_unanswered_write) {
     accept("a");
     auto writes = queue_.take_writes(now_);
     const milliseconds first = writes[0].timeout;
--- a/tests/connection_shedding_test.cpp
+++ b/tests/connection_shedding_test.cpp
@@ -7,8 +7,9 @@
 
 using namespace std::chrono_literals;
 
-// Guards against an overloaded entry that sends all callers away at once, which would overload the others.
-TEST(connection_shedding, closes_one_connection_at_a_time) {
+// Guards against an overloaded entry that closes all connections at once: its callers would reconnect to the
+// other entries and overload them.
+TEST(connection_shedding, closes_one_connection_per_interval) {
     connection_shedding shedding;
     time_point now{10s};
     int closed = 0;
@@ -19,7 +20,7 @@
     EXPECT_EQ(closed, 1000ms / connection_shedding::interval);
 }
 
-// Guards against connections that are closed although the entry carries its load.
+// Guards against closing connections of an entry that is not overloaded.
 TEST(connection_shedding, closes_none_without_overload) {
     connection_shedding shedding;
     EXPECT_FALSE(shedding.take_one(false, time_point{10s}));
--- a/tests/entry_core_test.cpp
+++ b/tests/entry_core_test.cpp
@@ -17,7 +17,8 @@
 constexpr link_number agent_link = 11;
 constexpr std::int64_t task_millicores = 3000;
 
-// Drives an entry by hand, beside a store that answers at once while it is up.
+// Drives one entry_core directly, with a store model that answers every call at once unless a test holds the
+// call.
 class entry_core_test : public testing::Test {
 protected:
     const incarnation process_{"entry", 5};
@@ -51,7 +52,7 @@
         std::move(output.decisions.begin(), output.decisions.end(), std::back_inserter(decisions_));
     }
 
-    // Inputs of the newest decision of this kind; empty if there was none.
+    // Returns the inputs of the latest decision with this text, or nothing if there was none.
     std::map<std::string, decision::value> inputs_of(std::string_view what) const {
         const auto found = std::find_if(decisions_.rbegin(), decisions_.rend(),
                                         [&](const decision& made) { return made.what == what; });
@@ -60,8 +61,7 @@
         return {found->inputs.begin(), found->inputs.end()};
     }
 
-    // Answers all calls to the store but watches, until none is left. Those for which is_held is true stay
-    // open.
+    // Answers calls to the store until only watches and calls for which is_held is true remain open.
     void serve_store(const std::function<bool(const store_call&)>& is_held = [](const store_call&) {
         return false;
     }) {
@@ -197,8 +197,9 @@
     }
 };
 
-// Guards against calls to the store for jobs that need none, and against answers before the end.
-TEST_F(entry_core_test, answers_a_job_with_its_end_without_the_store) {
+// Guards against store writes for a job that is not durable (recorded in the store before it is accepted),
+// and against an answer before all its tasks have ended.
+TEST_F(entry_core_test, answers_a_job_at_its_end_without_writing_to_the_store) {
     prepare();
     connect_agent();
     calls_.clear();
@@ -216,8 +217,9 @@
     EXPECT_FALSE(has_written);
 }
 
-// Guards against a second run of a job that is sent again, and against an answer without its state.
-TEST_F(entry_core_test, joins_a_job_that_is_sent_again) {
+// Guards against a second run of a resubmitted job, and against an answer to a resubmission that lacks the
+// state of the job.
+TEST_F(entry_core_test, does_not_run_a_resubmitted_job_twice) {
     prepare();
     connect_agent();
     const caller_token first = submit(job("a", false, 1));
@@ -234,8 +236,9 @@
     EXPECT_TRUE(take_starts().empty());
 }
 
-// Guards against work for callers that have left.
-TEST_F(entry_core_test, ends_the_runs_of_a_job_whose_callers_have_left) {
+// Guards against runs that continue after every caller of their job has disconnected, and against stopping
+// them while one caller still waits.
+TEST_F(entry_core_test, stops_runs_after_the_last_caller_leaves) {
     prepare();
     connect_agent();
     const caller_token first = submit(job("a", false));
@@ -251,9 +254,9 @@
     EXPECT_EQ(stops[0].runs.size(), 2U);
 }
 
-// Guards against callers that are held until their own deadline with a job that cannot be served: no backend
-// server is there, and the job could not end within three times its objective of 220 ms any more.
-TEST_F(entry_core_test, refuses_a_job_that_found_no_room_when_it_can_no_longer_end_in_time) {
+// Guards against keeping a caller until its own deadline when its job cannot be served. There is no backend
+// server here, and after 570 ms the job can no longer end within three times its objective of 220 ms.
+TEST_F(entry_core_test, refuses_an_unplaced_job_that_can_no_longer_end_in_time) {
     prepare();
     const caller_token token = submit(job("a", false));
     pass(milliseconds{550});
@@ -268,8 +271,9 @@
     EXPECT_TRUE(take_starts().empty());
 }
 
-// Guards against a refusal of a job that may have run: its only task was lost with its agent.
-TEST_F(entry_core_test, never_refuses_a_job_that_was_placed) {
+// Guards against refusing a job that may have run. The connection to the agent of its only task is lost, so
+// the outcome is uncertain.
+TEST_F(entry_core_test, does_not_refuse_a_placed_job) {
     prepare();
     connect_agent();
     const caller_token token = submit(job("a", false, 1));
@@ -281,9 +285,9 @@
     EXPECT_EQ(reply_to(token)->kind, caller_reply_kind::uncertain);
 }
 
-// Guards against a job that waits longer than its caller does: the caller's deadline comes before three times
-// the objective.
-TEST_F(entry_core_test, refuses_a_waiting_job_before_its_caller_gives_up) {
+// Guards against a job that waits longer than its caller does. The caller's deadline of 300 ms is shorter
+// than three times the objective.
+TEST_F(entry_core_test, refuses_a_waiting_job_before_its_caller_times_out) {
     prepare();
     job_submission request = job("a", false);
     request.answer_by = now_ + milliseconds{300};
@@ -293,9 +297,9 @@
     EXPECT_EQ(reply_to(token)->kind, caller_reply_kind::refused);
 }
 
-// Guards against a job that is worked on after its caller has stopped waiting, and against an untrue "not
-// run".
-TEST_F(entry_core_test, gives_a_job_up_when_its_caller_waits_no_longer) {
+// Guards against runs that continue after the caller's deadline, and against an answer which says that a
+// started job has not run.
+TEST_F(entry_core_test, stops_a_job_when_its_caller_times_out) {
     prepare();
     connect_agent();
     const caller_token token = submit(job("a", false));
@@ -306,9 +310,9 @@
     EXPECT_EQ(take_messages<stop_runs>().size(), 1U);
 }
 
-// Guards against a late answer that the log does not explain: its line has the wait for room, the runs and
-// the failures.
-TEST_F(entry_core_test, logs_the_course_of_a_job_that_ends_late) {
+// Guards against a late job whose log line does not explain the delay: the line shows the time until
+// placement, the runs and the failures.
+TEST_F(entry_core_test, logs_a_summary_of_a_job_that_ends_late) {
     prepare();
     const caller_token token = submit(job("a", false, 1));
     pass(milliseconds{80});
@@ -331,8 +335,8 @@
     EXPECT_EQ(inputs["done"], decision::value{std::int64_t{1}});
 }
 
-// Guards against a refusal whose line does not say that the job was never placed.
-TEST_F(entry_core_test, logs_the_course_of_a_job_that_is_refused) {
+// Guards against a refusal whose log line does not show that the job was never placed.
+TEST_F(entry_core_test, logs_a_summary_of_a_refused_job) {
     prepare();
     submit(job("a", false));
     pass(milliseconds{570});
@@ -344,8 +348,9 @@
     EXPECT_FALSE(inputs.contains("placed_us"));
 }
 
-// Guards against a job that fails because of one bad backend server, and against one that is tried for ever.
-TEST_F(entry_core_test, tries_a_failed_task_again_and_fails_the_job_after_its_attempts) {
+// Guards against a job that fails because of one faulty backend server, and against a failing task that is
+// retried without limit.
+TEST_F(entry_core_test, retries_a_failed_task_and_fails_the_job_after_its_attempts) {
     prepare();
     connect_agent();
     const caller_token token = submit(job("a", false, 1));
@@ -360,8 +365,8 @@
     EXPECT_EQ(reply_to(token)->state, job_state::failed);
 }
 
-// Guards against an acceptance that the store does not know, and a start before it.
-TEST_F(entry_core_test, accepts_a_kept_job_only_when_the_store_has_it) {
+// Guards against accepting a durable job, or starting its tasks, before the store has recorded it.
+TEST_F(entry_core_test, accepts_a_durable_job_after_the_store_records_it) {
     prepare();
     connect_agent();
     const caller_token token = submit(job("a", true));
@@ -374,8 +379,8 @@
     EXPECT_TRUE(store_.items().contains(job_key("a")));
 }
 
-// Guards against two entries that run the same job.
-TEST_F(entry_core_test, runs_nothing_of_a_kept_job_that_another_entry_has_accepted) {
+// Guards against two entries that run the same durable job.
+TEST_F(entry_core_test, does_not_run_a_durable_job_of_another_entry) {
     prepare();
     connect_agent();
     job_status status;
@@ -388,8 +393,9 @@
     EXPECT_TRUE(take_starts().empty());
 }
 
-// Guards against an untrue refusal: a write without an answer may be carried out later.
-TEST_F(entry_core_test, does_not_refuse_a_kept_job_whose_write_got_no_answer) {
+// Guards against refusing a durable job whose write was not acknowledged: the store may still apply the
+// write, so the outcome is uncertain.
+TEST_F(entry_core_test, does_not_refuse_a_durable_job_after_an_unanswered_write) {
     prepare();
     connect_agent();
     const caller_token token = submit(job("a", true));
@@ -406,8 +412,8 @@
     EXPECT_TRUE(take_starts().empty());
 }
 
-// Guards against callers that wait for a store which refuses everything.
-TEST_F(entry_core_test, refuses_a_kept_job_that_the_store_certainly_does_not_take) {
+// Guards against callers that wait until their deadline when the store refuses every write.
+TEST_F(entry_core_test, refuses_a_durable_job_when_the_store_refuses_every_write) {
     prepare();
     connect_agent();
     const caller_token token = submit(job("a", true));
@@ -424,9 +430,9 @@
     EXPECT_EQ(reply_to(token)->reason, submit_refusal::store_unavailable);
 }
 
-// Guards against a kept job that is shown as completed before the store knows, and ends that are acknowledged
-// before.
-TEST_F(entry_core_test, shows_the_end_of_a_kept_job_when_it_is_recorded) {
+// Guards against a durable job that is reported as completed, or whose ends are acknowledged to the agent,
+// before the store has recorded its end.
+TEST_F(entry_core_test, reports_the_end_of_a_durable_job_after_it_is_recorded) {
     prepare();
     connect_agent();
     submit(job("a", true, 1));
@@ -449,7 +455,8 @@
     EXPECT_EQ(recorded[0].end_numbers, std::vector<std::uint64_t>{4});
 }
 
-// Guards against ends that wait for a long job and would lead to a second run after a loss of all processes.
+// Guards against ends that are recorded only when a long job ends. If all processes were lost before that,
+// the tasks would run a second time.
 TEST_F(entry_core_test, records_the_progress_of_a_long_job) {
     prepare();
     connect_agent();
@@ -470,8 +477,9 @@
     EXPECT_TRUE(record->progress[0].is_done);
 }
 
-// Guards against a task that runs twice because a list crossed its order.
-TEST_F(entry_core_test, loses_nothing_by_a_list_that_crosses_an_order) {
+// Guards against a task that runs twice: an inventory that the agent sent before it received the start order
+// does not list the run, which must not count as lost.
+TEST_F(entry_core_test, ignores_an_inventory_sent_before_a_start_order_arrived) {
     prepare();
     connect_agent();
     submit(job("a", false, 1));
@@ -479,15 +487,15 @@
     entry_.received(agent_link, run_inventory{process_, {}, 0}, now_, wall_);
     pass(milliseconds{30});
     EXPECT_TRUE(take_starts().empty());
-    // A list that includes the order shows that it never started.
+    // An inventory sent after the order arrived shows that the run never started.
     entry_.received(agent_link, run_inventory{process_, {}, 1}, now_, wall_);
     pass(milliseconds{30});
     EXPECT_EQ(take_starts().size(), 1U);
 }
 
-// Guards against a run that is claimed and then taken for lost, because the agent's list is older than the
-// claim.
-TEST_F(entry_core_test, keeps_a_run_that_it_has_claimed) {
+// Guards against a claimed run that is treated as lost, because the agent sent its inventory before it
+// received the claim.
+TEST_F(entry_core_test, keeps_a_claimed_run_that_an_older_inventory_lacks) {
     prepare();
     connect_agent();
     submit(job("a", false, 1));
@@ -513,9 +521,9 @@
     EXPECT_EQ(replies_.size(), 1U);
 }
 
-// Guards against backend servers whose ends are never acknowledged, and against acknowledging the end of a
-// job that another entry still needs.
-TEST_F(entry_core_test, asks_the_store_for_the_job_of_an_end_that_it_does_not_know) {
+// Guards against ends that are never acknowledged to a backend server because no entry knows their job, and
+// against acknowledging the end of a job that is still open at another entry.
+TEST_F(entry_core_test, looks_up_the_job_of_an_unknown_end_in_the_store) {
     prepare();
     connect_agent();
     store_.put(job_key("open"), job_status{});
@@ -539,8 +547,9 @@
     EXPECT_EQ(numbers, (std::vector<std::uint64_t>{2, 3}));
 }
 
-// Guards against runs elsewhere while those at an agent out of reach may go on.
-TEST_F(entry_core_test, places_tasks_again_when_the_runs_of_a_lost_agent_have_ended) {
+// Guards against starting a task again while its run at an unreachable agent may continue: the entry must
+// wait until the lease of that run has expired.
+TEST_F(entry_core_test, restarts_tasks_of_a_lost_agent_after_its_run_leases_expire) {
     prepare();
     connect_agent();
     job_submission request = job("a", false, 1);
@@ -556,8 +565,9 @@
     EXPECT_EQ(take_starts(12).size(), 1U);
 }
 
-// Guards against tasks of an adopted job that are placed while an agent may still run them.
-TEST_F(entry_core_test, places_tasks_of_an_adopted_job_after_every_recorded_agent_has_answered) {
+// Guards against starting a task of an adopted job while an agent may still run it: every recorded agent must
+// first send its inventory for the previous session.
+TEST_F(entry_core_test, starts_an_adopted_job_after_every_recorded_agent_replies) {
     const incarnation former{"entry", 50};
     member_entry record = self();
     record.session = former;
@@ -594,8 +604,8 @@
     EXPECT_GT(starts[0].run, 1U);
 }
 
-// A job of a former session whose caller hands it in again before this entry has read the former session's
-// jobs. Calls that read them, and those that accept the job, are answered only when a test does so.
+// Sets up a job of the entry's previous session whose caller resubmits it before this entry has read the jobs
+// of that session. Store calls that read these jobs or accept the job stay open until a test answers them.
 class adoption_test : public entry_core_test {
 protected:
     const incarnation former_{"entry", 50};
@@ -629,16 +639,16 @@
         const caller_token token = submit(job("a", true, 1));
         serve_store([this](const store_call& call) { return is_held(call); });
         EXPECT_FALSE(reply_to(token));
-        // The former session's jobs are read before the acceptance is answered.
+        // The jobs of the previous session are read before the acceptance is answered.
         serve_store([this](const store_call& call) { return is_acceptance(call); });
         return token;
     }
 };
 
-// Guards against a job that is lost. Seen in the soak with seed 46: the job was left out of the adoption
-// because the entry was just accepting it, and dropped when the acceptance found the record of the former
-// session.
-TEST_F(adoption_test, keeps_a_job_that_is_handed_in_again_meanwhile) {
+// Guards against losing a job that is resubmitted during its adoption. In the soak with seed 46 the adoption
+// skipped the job because its acceptance was in flight, and the acceptance then dropped the job because it
+// found the record of the previous session.
+TEST_F(adoption_test, keeps_a_job_resubmitted_during_adoption) {
     const caller_token token = hand_in_again();
     serve_store();
     ASSERT_TRUE(reply_to(token));
@@ -646,8 +656,9 @@
     EXPECT_EQ(entry_.open_jobs(), 1U);
 }
 
-// Guards against an untrue refusal of a job that a former session has accepted.
-TEST_F(adoption_test, does_not_refuse_a_job_that_it_has_adopted) {
+// Guards against refusing a job that a previous session has accepted, when the store refuses the new
+// acceptance.
+TEST_F(adoption_test, does_not_refuse_an_adopted_job) {
     const caller_token token = hand_in_again();
     for (int i = 0; i < 20 && !reply_to(token); ++i) {
         for (const store_request& request : std::exchange(calls_, {})) {
@@ -663,10 +674,10 @@
     EXPECT_EQ(entry_.open_jobs(), 1U);
 }
 
-// Guards against a task that is placed while a run goes on that an owner in between has started. Seen in the
-// soak with seed 146: the agent's answer about the first owner came before that about the second, whose run
-// it was.
-TEST_F(adoption_test, places_nothing_before_the_runs_of_all_former_owners_are_known) {
+// Guards against starting a task while a run of it continues that an intermediate owner started. In the soak
+// with seed 146 the agent's inventory for the first owner arrived before the one for the second owner, which
+// had started the run.
+TEST_F(adoption_test, starts_no_task_before_the_runs_of_all_previous_owners_are_known) {
     const incarnation second{"entry", 51};
     member_entry record = self();
     record.session = second;
@@ -695,9 +706,9 @@
     EXPECT_EQ(take_starts().size(), 1U);
 }
 
-// Guards against calls that an ending entry accepts and cannot answer any more, and against other entries
-// that forget it while it still serves.
-TEST_F(entry_core_test, serves_on_after_the_signal_and_leaves_when_it_refuses) {
+// Guards against a stopping entry that accepts jobs which it can no longer answer, and against one that
+// leaves the membership while it still serves.
+TEST_F(entry_core_test, serves_until_the_shutdown_refusal_time_and_then_leaves) {
     prepare();
     connect_agent();
     const time_point refuse_at = now_ + milliseconds{2000};
@@ -727,8 +738,8 @@
     EXPECT_TRUE(entry_.has_left());
 }
 
-// Guards against a session that acts on after another entry took over its jobs.
-TEST_F(entry_core_test, gives_up_its_kept_jobs_when_it_is_deposed) {
+// Guards against a session that continues to act after another entry has adopted its jobs.
+TEST_F(entry_core_test, drops_durable_jobs_when_its_session_is_deposed) {
     prepare();
     connect_agent();
     submit(job("a", true, 1));
--- a/tests/job_world.h
+++ b/tests/job_world.h
@@ -17,16 +17,16 @@
 
 namespace persimmonstile {
 
-// A few owners and agents in one thread, with seeded delays and failures: owners that die, are paused or
+// Simulates a few owners and agents in one thread, with seeded delays and failures: owners that crash or are
 // deposed, agents that restart, connections that are cut and deliver late, backend servers that lose results.
-// Partition ownership is moved by the world itself under the guarantee of the grants: at most one owner may
-// act at any time. Every history is a function of its seed.
+// The simulation itself moves the ownership of partitions and keeps the guarantee of the grants: at most one
+// owner may act at any time. The seed determines the whole history.
 class job_world {
 public:
     struct options {
         std::uint64_t seed = 1;
         std::size_t jobs = 6;
-        // Switches that break a rule on purpose, to show that the checks notice.
+        // Each switch breaks one rule on purpose, to show that the checks detect it.
         bool skip_query = false;
         bool keep_old_epochs = false;
         bool refuse_without_lease = false;
@@ -43,7 +43,7 @@
         gain(0, true);
     }
 
-    // Runs the history; returns the violated promises, empty if all held.
+    // Runs the history and returns the violated guarantees; empty if all held.
     const std::vector<std::string>& run() {
         for (std::size_t i = 0; i < options_.jobs; ++i)
             at(pick(2000), [this, i] { submit_new(i); });
@@ -101,7 +101,8 @@
     };
     struct link {
         bool up = true;
-        // A message that was sent before the cut is lost or arrives late and out of order.
+        // Incremented at each cut. A message sent in an earlier generation is lost, or arrives late and out
+        // of order.
         std::uint64_t generation = 0;
         time_point last_arrival{};
     };
@@ -109,12 +110,12 @@
         job_id job;
         std::size_t tasks = 0;
         bool answered = false;
-        // The owner that the entry with this caller sent the request to last.
+        // Index of the owner to which the caller's request was last sent.
         std::size_t sent_to = 0;
     };
     struct job_facts {
         std::size_t tasks = 0;
-        // Positions in the order of events, as several may fall into one millisecond.
+        // Positions in the order of events, because several events can share one millisecond.
         std::uint64_t last_submitted = 0;
         std::optional<std::uint64_t> not_run;
         bool complete = false;
@@ -222,7 +223,7 @@
 
     void take_over(bool old_dies) {
         const std::size_t old = current_;
-        note(owners_[old]->id.name + (old_dies ? " dies" : " is deposed"));
+        note(owners_[old]->id.name + (old_dies ? " crashes" : " is deposed"));
         owners_.push_back(make_owner());
         current_ = owners_.size() - 1;
         gain(current_, false);
@@ -233,17 +234,17 @@
                 for (partition_id p = 0; p < partition_count; ++p)
                     lose(old, next, p);
             });
-        // Callers of the old owner come back, as the entries send their waiting requests to the new one.
+        // Entries resend the waiting requests of their callers to the new owner.
         for (const auto& [token, waiting] : callers_) {
             if (!waiting.answered)
                 at(pick(500), [this, token = token] { resubmit(token); });
         }
     }
 
-    // A planned stop: the agent drains, tells every owner which jobs it knows, and comes back as a new
+    // A planned stop: the agent drains, sends every owner the jobs that it knows, and restarts as a new
     // incarnation.
     void stop_agent(int index) {
-        note(agents_[index].id.name + " stops as planned");
+        note(agents_[index].id.name + " begins a planned stop");
         perform_agent(agents_[index], agents_[index].tasks->drain(now_));
         finish_stop(index, agents_[index].id);
     }
@@ -293,8 +294,8 @@
 
     void cut(std::size_t owner_index, int agent_index) {
         link& broken = links_[{owner_index, agent_index}];
-        note("connection " + owners_[owner_index]->id.name + " - agent-" + std::to_string(agent_index) +
-             " is cut");
+        note("connection between " + owners_[owner_index]->id.name + " and agent-" +
+             std::to_string(agent_index) + " is cut");
         broken.up = false;
         ++broken.generation;
         at(pick(1500), [this, owner_index, agent_index] {
@@ -457,7 +458,8 @@
         });
     }
 
-    // In order while the connection lasts; what is on its way at a cut is lost or arrives late.
+    // Delivers messages of a connection in order. A message in flight when the connection is cut is lost or
+    // arrives late.
     void deliver(std::size_t owner_index, int agent_index, std::function<void()> action) {
         link& used = links_[{owner_index, agent_index}];
         if (!used.up)
@@ -506,7 +508,7 @@
             violate("task " + call.job + "/" + std::to_string(call.index) + " started twice");
         const job_facts& facts = facts_[call.job];
         if (facts.not_run && facts.last_submitted <= *facts.not_run)
-            violate("a task of " + call.job + " started after the refusal not_run");
+            violate("a task of " + call.job + " started after the job was refused as not_run");
     }
 
     void answered(std::size_t owner_index, const caller_answer& answer) {
@@ -531,23 +533,23 @@
             facts.complete = true;
             for (std::size_t i = 0; i < facts.tasks; ++i) {
                 if (complete->answers.size() != facts.tasks || complete->answers[i] != text_of(job, i))
-                    violate("wrong answer of " + job);
+                    violate("wrong answer for " + job);
             }
         } else {
             const auto& failed = std::get<job_failed>(outcome);
             note("answer " + job + " " + std::string{to_string(failed.reason)} + " " + failed.detail);
             facts.task_failed = facts.task_failed || failed.reason == failure_reason::task_failed;
-            // Faults last for seconds and tasks for 300 ms, so a job that reaches its deadline of 60 s was
-            // forgotten.
+            // Faults last a few seconds and tasks at most 300 ms, so a job that reaches its deadline of 60 s
+            // was lost by its owners.
             if (failed.reason == failure_reason::deadline_exceeded)
-                violate(job + " was forgotten until its deadline");
+                violate(job + " reached its deadline without an outcome");
             if (failed.reason == failure_reason::outcome_unknown && !facts.lost &&
                 incarnations_ == agent_count)
                 violate(job + " has an unknown outcome without a lost result or agent");
             if (failed.reason == failure_reason::not_run) {
                 facts.not_run = order_++;
                 if (starts_.lower_bound({job, 0}) != starts_.upper_bound({job, max_tasks_per_job}))
-                    violate("not_run for " + job + " although a task had started");
+                    violate("not_run answered for " + job + " although a task had started");
             }
         }
         if (facts.complete && facts.task_failed)
--- a/tests/job_world_test.cpp
+++ b/tests/job_world_test.cpp
@@ -9,15 +9,16 @@
 
 constexpr std::uint64_t ci_histories = 10000;
 
-// PERSIMMONSTILE_HISTORIES runs a longer soak, PERSIMMONSTILE_SEED a single history.
+// Reads a number from the environment. PERSIMMONSTILE_HISTORIES sets how many histories run, and
+// PERSIMMONSTILE_SEED runs the single history of that seed.
 std::uint64_t from_environment(const char* name, std::uint64_t otherwise) {
     const char* value = std::getenv(name);
     return value == nullptr ? otherwise : std::strtoull(value, nullptr, 10);
 }
 
-// Guards against every way in which failures, two and three together, start a task twice, mix up or lose an
-// answer or make a refusal untrue.
-TEST(job_world, promises_hold_under_random_failures) {
+// Guards against combinations of failures, also two or three at once, that start a task twice, mix up or lose
+// an answer, or make a refusal false.
+TEST(job_world, guarantees_hold_under_random_failures) {
     const std::uint64_t first = from_environment("PERSIMMONSTILE_SEED", 1);
     const bool single = std::getenv("PERSIMMONSTILE_SEED") != nullptr;
     const std::uint64_t count = single ? 1 : from_environment("PERSIMMONSTILE_HISTORIES", ci_histories);
@@ -33,12 +34,13 @@
         complete += world.complete_answers();
         takeovers += world.takeovers();
     }
-    // The histories must do real work, or the checks above would hold for nothing.
+    // The histories must start and complete jobs, or the checks above would pass without testing anything.
     EXPECT_GT(starts, count);
     EXPECT_GT(complete, count);
     EXPECT_TRUE(single || takeovers > count / 4);
 }
 
+// Returns true if a history of one of the first seeds violates a guarantee.
 bool finds_violation(job_world::options chosen, std::uint64_t histories) {
     for (chosen.seed = 1; chosen.seed <= histories; ++chosen.seed) {
         job_world world{chosen};
@@ -48,8 +50,9 @@
     return false;
 }
 
-// Guards against checks that cannot fail: without the query after a takeover a task starts twice.
-TEST(job_world, notices_a_missing_query) {
+// Guards against checks that cannot fail: when the new owner sends no query after a takeover, a task starts
+// twice.
+TEST(job_world, detects_a_missing_query) {
     job_world::options broken;
     broken.skip_query = true;
     EXPECT_TRUE(finds_violation(broken, 200));
--- a/tests/late_job_patience_test.cpp
+++ b/tests/late_job_patience_test.cpp
@@ -7,34 +7,37 @@
 
 using namespace std::chrono_literals;
 
+// Drives one late_job_patience with simulated plans.
 class late_job_patience_test : public testing::Test {
 protected:
     late_job_patience patience_;
     time_point now_{100s};
 
-    // Plans every 10 ms that pass late jobs over.
+    // Makes a plan every 10 ms that finds no free capacity for late jobs and starts this many runs of other
+    // jobs.
     void pass_over(milliseconds time, std::size_t others_begun) {
         for (const time_point end = now_ + time; now_ < end; now_ += 10ms)
             patience_.passed_over(others_begun, now_);
     }
 };
 
-// Guards against callers that are held although all room goes to others.
-TEST_F(late_job_patience_test, ends_when_only_others_get_room) {
+// Guards against delaying the refusal of late jobs while all free capacity goes to other jobs.
+TEST_F(late_job_patience_test, is_over_when_only_other_jobs_start) {
     pass_over(100ms, 1);
     EXPECT_FALSE(patience_.is_over(now_));
     pass_over(500ms, 1);
     EXPECT_TRUE(patience_.is_over(now_));
 }
 
-// Guards against refusals in a stall, in which nobody gets room and which may end soon.
-TEST_F(late_job_patience_test, lasts_while_nobody_gets_room) {
+// Guards against refusals during a stall of the backend servers: no job starts, and the stall may end
+// soon.
+TEST_F(late_job_patience_test, lasts_while_no_job_starts) {
     pass_over(2000ms, 0);
     EXPECT_FALSE(patience_.is_over(now_));
 }
 
-// Guards against refusals where late jobs get room now and then.
-TEST_F(late_job_patience_test, begins_anew_when_a_late_job_gets_room) {
+// Guards against refusals while late jobs still start from time to time.
+TEST_F(late_job_patience_test, restarts_when_a_late_job_starts) {
     pass_over(600ms, 1);
     patience_.served();
     EXPECT_FALSE(patience_.is_over(now_));
@@ -42,8 +45,8 @@
     EXPECT_FALSE(patience_.is_over(now_));
 }
 
-// Guards against a refusal in a calm time by what was seen in a former rush.
-TEST_F(late_job_patience_test, forgets_a_rush_that_is_over) {
+// Guards against a refusal under normal load that is caused by starts counted in an earlier overload.
+TEST_F(late_job_patience_test, resets_after_an_interval_without_plans) {
     pass_over(600ms, 1);
     now_ += 5s;
     patience_.passed_over(1, now_);
--- a/tests/load_world.h
+++ b/tests/load_world.h
@@ -18,7 +18,7 @@
 
 namespace persimmonstile {
 
-// A kind of job in a load: how many come, how wide they are, and how long their tasks work.
+// Describes one kind of job in a load: its arrival rate, its number of tasks and the work of each task.
 struct load_class {
     std::string queue;
     double jobs_per_second = 0;
@@ -28,17 +28,17 @@
     std::uint32_t priority = 0;
 };
 
-// What became of the callers of one kind of job, and how many jobs there were.
+// Counts the jobs of one kind and the answers that their callers got.
 struct load_outcome {
     std::size_t jobs = 0;
-    // Answered within the objective, within three times of it, and later.
+    // Completed within the objective, within three times the objective, and later.
     std::size_t in_time = 0;
     std::size_t late = 0;
     std::size_t too_late = 0;
     std::size_t refused = 0;
-    // No answer, or one that says nothing.
+    // Callers without an answer, or with one that is neither a refusal nor a completion.
     std::size_t unanswered = 0;
-    // Time from the submission to a refusal, at most and in sum, and the refusals within the objective.
+    // Maximum and sum of the times from submission to refusal, and the refusals within the objective.
     milliseconds slowest_refusal{0};
     milliseconds refusal_time{0};
     std::size_t refused_in_time = 0;
@@ -48,28 +48,28 @@
     }
 };
 
-// Plays a load against entries and agents with their decision logic, in simulated time and without a network:
-// messages take time on the way, and every process handles them one after the other at its own pace. Jobs
-// live with their callers' calls. A load is a function of its options.
+// Runs a load against the decision logic of entries and agents in simulated time and without a network.
+// Messages have a network delay, and every process handles them one at a time at its own speed. Jobs are not
+// durable: they end with their callers' calls. The options, which include the seed, determine the whole load.
 class load_world {
 public:
     struct options {
         std::uint64_t seed = 1;
         int entries = 3;
         int agents = 11;
-        // Room of backend servers in turn, and their speeds.
+        // Capacities and speeds of the backend servers; the lists are repeated when there are more servers.
         std::vector<std::int64_t> millicores{32000, 32000, 48000};
         std::vector<double> speeds{0.7, 0.7, 1.7};
         std::vector<load_class> classes;
         milliseconds length{8000};
-        // The traffic is multiplied by this in between.
+        // Factor on the arrival rates between burst_begin and burst_end.
         double burst = 1;
         milliseconds burst_begin{2000};
         milliseconds burst_end{5000};
-        // Processor time of one message at an entry and at an agent of usual pace.
+        // Processor time of one message at an entry and at an agent that are not slowed down.
         std::chrono::microseconds entry_cost{200};
         std::chrono::microseconds agent_cost{200};
-        // Part of the orders that get no answer and are carried out seconds later.
+        // Fraction of the orders that get no answer and are executed 2 to 12 s later.
         double late_orders = 0;
         agent_limits agent_figures;
         entry_limits entry_figures;
@@ -85,13 +85,13 @@
             make_agent(i);
     }
 
-    // Multiplies the processor time of an entry's messages.
+    // Multiplies the processor time of an entry's messages by the factor between these times.
     void slow_down_entry(int index, double factor, milliseconds begin, milliseconds end) {
         at(time_point{begin}, [this, index, factor] { entries_[index]->pace = factor; });
         at(time_point{end}, [this, index] { entries_[index]->pace = 1; });
     }
 
-    // Tasks of this backend server make no progress, or fail.
+    // Tasks of this backend server make no progress between these times.
     void hang_backend(int index, milliseconds begin, milliseconds end) {
         at(time_point{begin}, [this, index] { agents_[index]->backend.set_hanging(true); });
         at(time_point{end}, [this, index] { agents_[index]->backend.set_hanging(false); });
@@ -131,12 +131,12 @@
         return sum;
     }
 
-    // Part of all backend servers' processors that was in use in the burst.
+    // Mean fraction of all backend servers' processor capacity in use during the burst.
     double used_in_burst() const { return samples_ == 0 ? 0 : used_ / static_cast<double>(samples_); }
     std::size_t messages() const { return messages_; }
-    // Runs that an agent sent back because they had no room.
+    // Number of runs that an agent refused because its backend server lacked free capacity.
     std::size_t bounced() const { return bounced_; }
-    // Whether a backend server ever had more to do than it has room.
+    // False if the runs of a backend server ever exceeded its capacity.
     bool is_room_kept() const { return is_room_kept_; }
     static constexpr milliseconds begin_of_traffic() { return warm_up; }
 
@@ -147,7 +147,7 @@
     static constexpr milliseconds backend_step{2};
     static constexpr double stretch = 1.6;
     static constexpr milliseconds slack{60};
-    // A caller waits for three times its objective and this.
+    // A caller waits for three times its objective plus this time.
     static constexpr milliseconds extra_patience{1500};
 
     struct event {
@@ -159,6 +159,7 @@
         }
     };
 
+    // A simulated process, which handles one event at a time.
     struct process {
         std::string name;
         double pace = 1;
@@ -234,7 +235,7 @@
         node->core = std::make_unique<agent_core>(incarnation{node->name, 1}, profile.zone,
                                                   options_.agent_figures, now_);
         agents_.push_back(std::move(node));
-        // Links are numbered so that both sides and the direction follow from the number.
+        // The entry and the agent of a link can be computed from its number.
         for (int entry = 0; entry < options_.entries; ++entry) {
             agent_node& agent = *agents_.back();
             const link_number link = link_between(entry, index);
@@ -256,7 +257,7 @@
         at(now_ + milliseconds{1500}, [this, &agent] { announce(agent); });
     }
 
-    // A process handles one thing after the other.
+    // Runs the action when the process has finished all earlier work and spent this processor time.
     void handle(process& node, std::chrono::microseconds cost, std::function<void()> action) {
         const auto time = std::chrono::microseconds{
             static_cast<std::int64_t>(static_cast<double>(cost.count()) * node.pace)};
@@ -332,7 +333,7 @@
             carry_out(node, order);
     }
 
-    // Messages of one direction keep their order.
+    // Delivers the messages of one link and direction in the order they were sent.
     void deliver(link_number link, bool to_agent, process& receiver, std::chrono::microseconds cost,
                  std::function<void()> action) {
         ++messages_;
@@ -394,7 +395,8 @@
                 agent.running.erase(found);
             }
         }
-        // Orders that were carried out late are the backend server's affair.
+        // Orders that a backend server executes late can exceed its capacity, and the agent cannot prevent
+        // it.
         if (agent.used > agent.millicores && options_.late_orders == 0)
             is_room_kept_ = false;
     }
@@ -416,7 +418,8 @@
     }
 
     void submit(const load_class& kind) {
-        // Jobs of one kind differ, the tasks of one job less, and callers' estimates are rough.
+        // Work varies more between jobs of one kind than between the tasks of one job, and callers' estimates
+        // are imprecise.
         constexpr double job_spread = 0.4;
         constexpr double task_spread = 0.15;
         constexpr double estimate_spread = 0.4;
@@ -501,7 +504,7 @@
 
     options options_;
     std::mt19937_64 random_;
-    // Apart, so that the same jobs come whatever the system decides.
+    // A generator of its own, so that the same jobs arrive whatever the entries and agents decide.
     std::mt19937_64 traffic_random_;
     time_point now_{};
     std::uint64_t order_ = 0;
--- a/tests/load_world_test.cpp
+++ b/tests/load_world_test.cpp
@@ -9,14 +9,15 @@
 
 using namespace std::chrono_literals;
 
-// What users aim at on days with trouble: nine callers of ten get their whole answer in time.
+// The users' target under faults and load: nine callers of ten get their whole answer in time.
 constexpr double aimed_in_time = 0.9;
 
-// A rush beyond capacity may leave one caller of a hundred without an answer that says what became of the
-// job.
+// When a burst exceeds capacity, at most one caller of a hundred may get no answer that tells the outcome of
+// the job.
 constexpr double most_unanswered = 0.01;
 
-// The three kinds of job of the sites: field checks or bale counts, document builds or pickups, lookups.
+// The three kinds of job at the sites: short ones are field checks or bale counts, long ones document builds
+// or pickups, common ones lookups.
 std::vector<load_class> usual_classes(double scale, std::int64_t millicores) {
     return {{"short", 34.4 * scale, 8, 60ms, millicores, 0},
             {"long", 6.25 * scale, 4, 900ms, millicores, 2},
@@ -44,6 +45,7 @@
     return options;
 }
 
+// Runs the simulation and checks that every kind of job meets the target and that no capacity is exceeded.
 void expect_in_time(load_world& world) {
     for (const auto& [queue, outcome] : world.run())
         EXPECT_GE(outcome.in_time_part(), aimed_in_time)
@@ -52,16 +54,17 @@
     EXPECT_TRUE(world.is_room_kept());
 }
 
-// Guards against placement that leaves callers waiting while there is room.
-TEST(load, usual_traffic_is_served_in_time) {
+// Guards against placement that makes callers wait while backend servers have free capacity.
+TEST(load_world, normal_traffic_is_served_in_time) {
     load_world small{small_site(1)};
     expect_in_time(small);
     load_world grown{grown_site(1)};
     expect_in_time(grown);
 }
 
-// Guards against a rush in one third of the callers' time that makes entries compete for the same room.
-TEST(load, a_burst_below_capacity_is_served_in_time) {
+// Guards against entries that compete for the same free capacity during a burst of 1.5 times the normal
+// traffic, which lasts for a third to a half of the run.
+TEST(load_world, a_burst_below_capacity_is_served_in_time) {
     load_world::options rush = small_site(2);
     rush.burst = 1.5;
     load_world small{rush};
@@ -72,9 +75,9 @@
     expect_in_time(grown);
 }
 
-// Guards against orders that get no answer and hold up the tasks behind them: one in twenty is lost and
-// carried out seconds later, and its loss must not cost the callers of other tasks their time.
-TEST(load, lost_orders_cost_few_callers_their_time) {
+// Guards against unanswered orders that delay the tasks queued after them. One order in twenty gets no answer
+// and is executed seconds later; this must not make the callers of other tasks late.
+TEST(load_world, unanswered_orders_delay_few_callers) {
     load_world::options options = small_site(3);
     options.late_orders = 0.05;
     load_world small{options};
@@ -85,10 +88,10 @@
     expect_in_time(grown);
 }
 
-// Guards against news of room that make all entries compete for each place that becomes free, and against an
-// agent whose messages grow with the number of entries: told less often, callers fare no worse for a third
-// fewer messages.
-TEST(load, rare_news_of_room_serve_callers_no_worse) {
+// Guards against updates of free capacity that make all entries compete for each slot that becomes free, and
+// against an agent whose messages grow with the number of entries. With less frequent updates, at least as
+// many jobs are in time, with a third fewer messages.
+TEST(load_world, infrequent_capacity_updates_serve_as_many_jobs_in_time) {
     load_world::options options = grown_site(5);
     options.burst = 2;
     load_world rare{options};
@@ -101,9 +104,9 @@
     EXPECT_LE(3 * rare.messages(), 2 * frequent.messages());
 }
 
-// Guards against short jobs that wait at a full backend server until they are late: sent back earlier, more
-// of them end in time elsewhere.
-TEST(load, a_short_wait_for_room_serves_more_short_jobs_in_time) {
+// Guards against short jobs that wait at a full backend server until they are late. If the agent returns them
+// earlier, more of them end in time on other servers.
+TEST(load_world, a_short_queue_timeout_serves_more_short_jobs_in_time) {
     std::size_t after_short_wait = 0;
     std::size_t after_long_wait = 0;
     for (const std::uint64_t seed : {6, 7, 8}) {
@@ -118,16 +121,16 @@
     EXPECT_GT(after_short_wait, after_long_wait);
 }
 
-// Three times the usual traffic, more than all backend servers carry.
+// A burst of three times the normal traffic, which exceeds the capacity of all backend servers together.
 load_world::options overload(std::uint64_t seed) {
     load_world::options options = small_site(seed);
     options.burst = 3;
     return options;
 }
 
-// Guards against callers that are held until their deadline, and against jobs that are begun and then left
-// behind others until nobody waits for them.
-TEST(load, callers_that_cannot_be_served_hear_so_in_time) {
+// Guards against callers that wait for an answer until their deadline, and against jobs that start and are
+// then overtaken by others until their callers have left.
+TEST(load_world, overload_leaves_few_callers_without_an_outcome) {
     load_world world{overload(4)};
     for (const auto& [queue, outcome] : world.run()) {
         const auto part = static_cast<double>(outcome.unanswered) / static_cast<double>(outcome.jobs);
@@ -137,9 +140,9 @@
     EXPECT_TRUE(world.is_room_kept());
 }
 
-// Guards against callers that hear of a refusal only when it is too late for anything else: all room goes to
-// jobs that can be in time, and those that cannot are told so within their objective.
-TEST(load, a_refusal_in_a_rush_comes_within_the_objective) {
+// Guards against refusals that come too late for the caller to react. All free capacity goes to jobs that can
+// be in time, and the others must be refused within their objective.
+TEST(load_world, overload_refusals_come_within_the_objective) {
     std::size_t refused = 0;
     std::size_t refused_in_time = 0;
     for (const std::uint64_t seed : {4, 5, 6}) {
@@ -152,9 +155,9 @@
     EXPECT_GE(static_cast<double>(refused_in_time), aimed_in_time * static_cast<double>(refused));
 }
 
-// Guards against refusals after a stall: the backend servers stand still for a moment, and what waits can be
-// served late.
-TEST(load, jobs_that_a_stall_makes_late_are_served) {
+// Guards against refusals after a stall: the backend servers make no progress for 400 ms, and the jobs that
+// wait can still be served late.
+TEST(load_world, jobs_delayed_by_a_stall_are_served_late) {
     load_world world{small_site(9)};
     for (int backend = 0; backend < 11; ++backend)
         world.hang_backend(backend, load_world::begin_of_traffic() + 3000ms,
--- a/tests/overload_watch_test.cpp
+++ b/tests/overload_watch_test.cpp
@@ -9,13 +9,14 @@
 
 constexpr milliseconds interval{20};
 
+// Drives one overload_detector with simulated timers.
 class overload_watch_test : public testing::Test {
 protected:
     overload_limits limits_;
     overload_detector watch_{limits_};
     time_point now_{100s};
 
-    // Timers fire late by this much for a while.
+    // Fires a timer every interval for this time, each with this delay.
     void pass(milliseconds time, milliseconds late) {
         for (milliseconds passed{0}; passed < time; passed += interval) {
             now_ += interval;
@@ -24,8 +25,9 @@
     }
 };
 
-// Guards against a process that turns load away because of a single long piece of work.
-TEST_F(overload_watch_test, one_late_timer_is_no_overload) {
+// Guards against a process that sheds load because of one long event, or because of a queue of events that
+// drains within the detection time.
+TEST_F(overload_watch_test, late_timers_below_the_detection_time_are_no_overload) {
     pass(1s, 0ms);
     pass(interval, 500ms);
     pass(1s, 0ms);
@@ -37,15 +39,16 @@
     EXPECT_FALSE(watch_.is_overloaded());
 }
 
-// Guards against a standing queue that is never noticed.
-TEST_F(overload_watch_test, a_standing_queue_is_an_overload) {
+// Guards against a persistent queue of events that is never detected.
+TEST_F(overload_watch_test, late_timers_beyond_the_detection_time_are_an_overload) {
     pass(1s, 0ms);
     pass(limits_.detection_time + interval, limits_.late);
     EXPECT_TRUE(watch_.is_overloaded());
 }
 
-// Guards against a process that calls for load again as soon as its queue is gone, and swings.
-TEST_F(overload_watch_test, rests_after_an_overload_and_longer_after_the_next_one) {
+// Guards against oscillation: a process that accepts load again as soon as its queue has drained is
+// overloaded again at once.
+TEST_F(overload_watch_test, recovery_lasts_longer_after_a_repeated_overload) {
     pass(limits_.detection_time + interval, 100ms);
     pass(limits_.min_recovery - interval, 0ms);
     EXPECT_TRUE(watch_.is_overloaded());
@@ -58,8 +61,8 @@
     EXPECT_FALSE(watch_.is_overloaded());
 }
 
-// Guards against an old overload that makes the next one, hours later, last longer.
-TEST_F(overload_watch_test, forgets_an_old_overload) {
+// Guards against a longer recovery because of an overload that ended long ago.
+TEST_F(overload_watch_test, recovery_is_short_after_the_repeat_window) {
     pass(limits_.detection_time + interval, 100ms);
     pass(limits_.min_recovery + interval + limits_.repeat_window, 0ms);
     pass(limits_.detection_time + interval, 100ms);
