--- a/tests/call_pacer_test.cpp
+++ b/tests/call_pacer_test.cpp
@@ -12,7 +12,7 @@
                                               .initial_backoff = milliseconds{100},
                                               .maximum_backoff = milliseconds{1000}};
 
-// Guards against a loop of calls that exceeds the process's share of the store's rate.
+// Guards against a loop of calls that exceeds this process's share of the call rate of the store.
 TEST(call_rate_limiter, spreads_calls_beyond_the_burst) {
     call_rate_limiter pacer{settings, seed};
     for (int i = 0; i < 5; ++i)
@@ -22,8 +22,9 @@
     EXPECT_EQ(pacer.reserve(start + std::chrono::seconds{10}), boot_clock::duration::zero());
 }
 
-// Guards against clients that hammer a store that is down: calls of a caller that retries at once, over 60 s.
-TEST(call_rate_limiter, an_outage_causes_no_storm) {
+// Guards against clients that overload a store during its outage. The caller retries without a delay of its
+// own for 60 s.
+TEST(call_rate_limiter, backoff_limits_the_call_rate_during_an_outage) {
     call_rate_limiter pacer{settings, seed};
     time_point now = start;
     int calls = 0;
@@ -32,13 +33,15 @@
         ++calls;
         pacer.record_failure(now);
     }
-    // At least 0.5 s apart once the maximum is reached; the doubling before adds a few.
+    // Calls are at least 0.5 s apart once the backoff has reached its maximum; the shorter backoffs before
+    // that add a few calls.
     EXPECT_LE(calls, 125);
     EXPECT_GE(calls, 60);
 }
 
-// Guards against a backoff that outlasts the outage, and against equal delays in different processes.
-TEST(call_rate_limiter, success_ends_the_backoff_and_seeds_differ) {
+// Guards against a backoff that continues after the outage, and against processes that retry at the same
+// moment because their delays are equal.
+TEST(call_rate_limiter, success_resets_the_backoff_and_jitter_depends_on_the_seed) {
     call_rate_limiter first{settings, seed};
     call_rate_limiter second{settings, seed + 1};
     first.record_failure(start);
--- a/tests/grantor_test.cpp
+++ b/tests/grantor_test.cpp
@@ -28,7 +28,8 @@
     return {owner, version, 0, 1, std::move(agents)};
 }
 
-// A grantor that took part in the creation of the first table.
+// Returns a grantor that received the bootstrap read (version 0, no grantors) before the first table, so
+// that it needs no recovery.
 grantor first_grantor(const std::string& name, const std::vector<std::string>& grantors) {
     grantor g{{name, 1}, start};
     g.push(owner_table{}, start);
@@ -40,24 +41,25 @@
     return g.request(request_from(owner, version), 0, now).granted;
 }
 
-// Guards against a restarted grantor that takes the first table it sees for the first one ever.
-TEST(grantor, grants_without_recovery_only_if_assured_that_no_table_existed) {
+// Guards against a restarted grantor that takes the first table it receives for the first table of the cell
+// and grants without recovery.
+TEST(grantor, grants_without_recovery_only_after_a_bootstrap_read_that_found_no_table) {
     grantor fresh = first_grantor("g", {"g", "h", "i"});
     EXPECT_TRUE(grants(fresh, owner_a, 1, start));
     grantor restarted{{"g", 2}, start};
     EXPECT_TRUE(restarted.push(table_with(1, {"g", "h", "i"}), start).recovering);
     EXPECT_FALSE(grants(restarted, owner_a, 1, start + 10s));
-    // An assurance does not cover the tables after the first one.
+    // A bootstrap read does not cover tables after the first one.
     grantor late{{"g", 3}, start};
     late.push(owner_table{}, start);
     EXPECT_TRUE(late.push(table_with(2, {"g", "h", "i"}), start).recovering);
-    // It may arrive after the table that it precedes.
+    // It may arrive after the first table, although it was sent before.
     grantor reordered{{"g", 4}, start};
     reordered.push(table_with(1, {"g", "h", "i"}), start);
     EXPECT_FALSE(reordered.push(owner_table{}, start).recovering);
 }
 
-// Guards against grants for a deposed owner or one with an old configuration.
+// Guards against granting leases to an owner that was deposed or that has an older configuration.
 TEST(grantor, refuses_older_versions_and_revisions) {
     grantor g = first_grantor("g", {"g"});
     EXPECT_EQ(g.push(table_with(5, {"g"}), start).version, 5U);
@@ -72,7 +74,8 @@
     EXPECT_EQ(g.epoch_of(partition_count), 0U);
 }
 
-// Guards against missed failures, and against reports by a grantor that was itself paused.
+// Guards against failures that are not detected, and against reports by a grantor that was paused itself
+// and has therefore received no requests.
 TEST(grantor, reports_owners_that_were_silent_for_a_second) {
     grantor g = first_grantor("g", {"g"});
     time_point now = start;
@@ -84,8 +87,9 @@
     EXPECT_TRUE(g.request(request_from(owner_a, 1), 0, now + 30s).silent_owners.empty());
 }
 
-// Guards against a grantor that forgets what it acknowledged: it would let a deposed owner act again.
-TEST(grantor, restarted_one_recovers_from_a_majority_and_waits) {
+// Guards against a restarted grantor that has lost the table version it acknowledged and would grant a
+// lease to a deposed owner.
+TEST(grantor, restarted_grantor_recovers_from_a_majority_and_waits) {
     const std::vector<std::string> names{"g", "h", "i", "j", "k"};
     grantor g{{"g", 2}, start};
     g.push(table_with(1, names), start);
@@ -109,7 +113,7 @@
     EXPECT_EQ(g.answer({{"h", 9}, 1})->recorded.size(), 3U);
 }
 
-// Guards against recovery from two of four grantors, which may both have missed the addition of the fourth.
+// Guards against recovery from two of four grantors: both may have missed the table that added the fourth.
 TEST(grantor, needs_a_majority_of_the_whole_set_to_recover) {
     grantor g{{"g", 2}, start};
     g.push(table_with(3, {"g", "h", "i", "j"}), start);
@@ -121,8 +125,9 @@
     EXPECT_TRUE(grants(g, owner_a, 3, start + 10s));
 }
 
-// Guards against a grantor that starts again alone after all memory is lost.
-TEST(grantor, single_one_does_not_recover_from_itself) {
+// Guards against a single grantor that restarts and resumes granting although nobody holds its previous
+// state.
+TEST(grantor, single_grantor_does_not_recover_from_itself) {
     grantor g{{"g", 2}, start};
     g.push(table_with(3, {"g"}), start);
     const std::uint64_t nonce = g.recovery_due(start)->nonce;
@@ -130,7 +135,7 @@
     EXPECT_FALSE(grants(g, owner_a, 3, start + 10s));
 }
 
-// Guards against a set that grows by a grantor which cannot grant yet.
+// Guards against adding a grantor to the set before it can grant.
 TEST(grantor, recovers_before_it_is_named) {
     grantor g{{"g", 1}, start};
     g.push(table_with(2, {"h", "i", "j"}), start);
@@ -141,7 +146,7 @@
     EXPECT_TRUE(grants(g, owner_a, 3, start + grant_period));
 }
 
-// Guards against records that are held by a majority of an older grantor set only.
+// Guards against agent records that only a majority of an older grantor set holds.
 TEST(grantor, records_nothing_for_an_entry_with_an_older_table) {
     grantor g = first_grantor("g", {"g"});
     g.push(table_with(2, {"g"}), start);
@@ -149,7 +154,7 @@
     EXPECT_TRUE(g.answer({})->recorded.empty());
 }
 
-// Guards against endless growth of the records, and against the loss of a live agent's record.
+// Guards against unbounded growth of the agent records, and against dropping the record of a live agent.
 TEST(grantor, drops_replaced_records_after_the_deduplication_window) {
     grantor g = first_grantor("g", {"g"});
     const auto recorded = [&](time_point now, std::vector<incarnation> agents) {
@@ -159,7 +164,7 @@
     EXPECT_EQ(recorded(start, {agent_x1, agent_x2}).size(), 2U);
     EXPECT_EQ(recorded(start + deduplication_window - 1ms, {}).size(), 2U);
     EXPECT_EQ(recorded(start + deduplication_window, {}), std::vector{agent_x2});
-    // A late message about x1 followed by the refresh of x2.
+    // A delayed request lists x1 again; the next refresh lists x2.
     recorded(start + deduplication_window, {agent_x1});
     recorded(start + deduplication_window + 60s, {agent_x2});
     EXPECT_EQ(recorded(start + 3 * deduplication_window, {}), std::vector{agent_x2});
--- a/tests/ownership_measure_test.cpp
+++ b/tests/ownership_measure_test.cpp
@@ -8,8 +8,8 @@
 namespace persimmonstile {
 namespace {
 
-// Estimates of JSON: a field costs its value and about this much for name, quotes, colon and comma; a message
-// costs its fields and a JSON-RPC envelope.
+// Estimated sizes in JSON, in bytes. A field takes its value and about field_overhead for name, quotes,
+// colon and comma; a message takes its fields and the JSON-RPC envelope.
 constexpr std::size_t field_overhead = 12;
 constexpr std::size_t envelope = 60;
 
@@ -45,9 +45,9 @@
               << at(0.99) << " max " << at(1) << "\n";
 }
 
-// Guards against a takeover that takes longer than the 10 s allowed after a failure. Prints the distribution
-// of the time from the death of an owner until other entries may act for all of its partitions.
-TEST(ownership_measure, time_from_death_of_an_owner_to_its_successors) {
+// Guards against a takeover that exceeds the 10 s allowed after a failure. Prints the distribution of the
+// time from the kill of an owner until other entries may act for all of its partitions.
+TEST(ownership_measure, time_from_failure_of_an_owner_to_its_successors) {
     for (const std::size_t agents : {3U, 11U}) {
         std::vector<nanoseconds> times;
         for (std::uint64_t seed = 1; seed <= 200; ++seed) {
@@ -63,12 +63,12 @@
             ASSERT_EQ(world.violation(), std::nullopt) << seed;
             times.push_back(world.now() - death);
         }
-        print_distribution(std::to_string(agents) + " grantors, 200 deaths,", times);
+        print_distribution(std::to_string(agents) + " grantors, 200 killed owners,", times);
     }
 }
 
-// Guards against control traffic that grows with time, and prints what the grants cost an agent. The design
-// allows a daemon 2 KB/s.
+// Guards against control traffic that grows with time, and prints the traffic of grants for each agent. The
+// design allows a daemon 2 KB/s.
 TEST(ownership_measure, control_traffic_of_an_agent) {
     for (const std::size_t agents : {3U, 11U}) {
         for (const std::size_t entries : {2U, 3U}) {
--- a/tests/ownership_test.cpp
+++ b/tests/ownership_test.cpp
@@ -22,7 +22,8 @@
     return names;
 }
 
-// Partitions 0 to own-1 belong to self, the others to other.
+// Returns a table in which self owns the given number of partitions, from partition 0 on, and other owns
+// the rest.
 owner_table table_with(table_version version, std::size_t grantors, std::size_t own, epoch_number epoch) {
     owner_table table;
     table.version = version;
@@ -33,7 +34,8 @@
     return table;
 }
 
-// An entry with connected agents g0, g1, ... whose answers the test gives.
+// Drives one ownership object with connected agents g0, g1, ...; the test supplies the replies of agents
+// and store.
 class entry_under_test {
 public:
     explicit entry_under_test(std::size_t agents, std::size_t minimum_grantors = 3)
@@ -45,7 +47,8 @@
 
     static incarnation agent(std::size_t i) { return {"g" + std::to_string(i), 1}; }
 
-    // Keeps the sequence of the last grant request and the last question, and counts store calls.
+    // Keeps the last grant request, recovery request, pushed table and table write, collects gained and
+    // lost partitions, and counts store calls.
     void take(const ownership_actions& actions) {
         for (const control_send& send : actions.sends) {
             if (const auto* request = std::get_if<grant_request>(&send.message))
@@ -83,7 +86,7 @@
         for (std::size_t i = 0; i < agents_; ++i)
             reply(i, requested.sequence, true, silent);
     }
-    // Runs for the time while all grantors answer every request.
+    // Advances the clock while all grantors grant every request.
     void advance_granted(std::chrono::milliseconds time) {
         for (const time_point end = now + time; now < end;) {
             advance(50ms);
@@ -116,7 +119,7 @@
     std::size_t agents_;
 };
 
-// A member that owns partitions 0 to 31 under table version 5 and holds all grants.
+// Returns an entry that owns partitions 0 to 31 under table version 5 and holds the leases of all grantors.
 entry_under_test acting_member(std::size_t grantors) {
     entry_under_test entry{grantors};
     entry.read(table_with(5, grantors, 32, 2), 50);
@@ -127,15 +130,17 @@
     return entry;
 }
 
-// Guards against two first tables, and against one whose grantors are too few or not yet assured.
-TEST(ownership, first_table_needs_enough_assured_agents_and_an_absent_key) {
+// Guards against two first tables, and against a first table with too few grantors or with grantors that no
+// bootstrap read covers yet.
+TEST(ownership, first_table_needs_enough_agents_covered_by_a_bootstrap_read_and_an_absent_key) {
     entry_under_test entry{2};
     entry.read(std::nullopt, 0);
     entry.advance(1500ms);
     EXPECT_FALSE(entry.written);
     entry.take(entry.logic.agent_connected(entry.agent(2), entry.now));
     entry.advance(1900ms);
-    // The third agent connected after the first read, so the store is read again.
+    // The first read does not cover the third agent, which connected later, so the entry reads the store
+    // again.
     EXPECT_EQ(entry.reads, 2);
     EXPECT_FALSE(entry.written);
     entry.read(std::nullopt, 0);
@@ -151,8 +156,8 @@
     EXPECT_EQ(entry.written->table.partitions.at(63).epoch, 1U);
 }
 
-// Guards against a cell that cannot start again after operators gave up its grantors, and against epochs that
-// start again at 1.
+// Guards against a cell that cannot start again after operators removed its grantors from the table, and
+// against epochs that restart at 1.
 TEST(ownership, table_without_grantors_is_followed_by_a_new_set) {
     entry_under_test entry{3};
     owner_table given_up = table_with(9, 0, 32, 4);
@@ -168,7 +173,7 @@
     EXPECT_EQ(entry.written->table.partitions.at(0), (partition_owner{self, 5}));
 }
 
-// Guards against a lease that outlives what its grantor promised.
+// Guards against an entry that holds a lease longer than its grantor granted it.
 TEST(ownership, lease_counts_from_the_sending_time_of_its_request) {
     entry_under_test entry = acting_member(3);
     EXPECT_TRUE(entry.logic.owns(0, entry.now));
@@ -184,7 +189,7 @@
     EXPECT_FALSE(entry.logic.owns(0, sent + grant_period));
 }
 
-// Guards against leases from answers that come late, twice or out of order.
+// Guards against leases that are extended by replies that arrive late, twice or out of order.
 TEST(ownership, late_and_repeated_answers_do_not_change_a_lease) {
     entry_under_test entry = acting_member(1);
     entry.advance_to_request();
@@ -198,7 +203,7 @@
     entry.now += grant_period;
     entry.reply(0, latest);
     EXPECT_EQ(entry.logic.lease_left(entry.now).count(), 0);
-    // A refusal that arrives first is not undone by the older grant.
+    // An older grant that arrives after a newer refusal gives no lease.
     entry.advance_to_request();
     const std::uint64_t granted = entry.requested.sequence;
     entry.advance_to_request();
@@ -207,7 +212,8 @@
     EXPECT_EQ(entry.logic.lease_left(entry.now).count(), 0);
 }
 
-// Guards against acting on grants of a minority, for every supported number of grantors.
+// Guards against acting as owner with the leases of a minority, for several numbers of grantors from 1 to
+// 11.
 TEST(ownership, acts_only_with_a_majority_of_grants) {
     for (const std::size_t size : {1U, 3U, 4U, 5U, 11U}) {
         entry_under_test entry = acting_member(size);
@@ -221,8 +227,9 @@
     }
 }
 
-// Guards against acting while the old owner may still hold grants, and against missing agents.
-TEST(ownership, gains_after_acknowledgements_wait_and_confirmation) {
+// Guards against acting while the old owner may still hold leases, and against missing agents that the old
+// owner recorded.
+TEST(ownership, gains_partitions_after_acknowledgements_wait_and_confirmation) {
     entry_under_test entry{3};
     entry.read(table_with(5, 3, 32, 2), 50);
     entry.advance_granted(0ms);
@@ -238,11 +245,11 @@
     EXPECT_NE(entry.asked.nonce, 0U);
     entry.confirm(entry.agent(0), {{"x", 1}});
     entry.confirm(entry.agent(2), {{"z", 1}});
-    // A restarted grantor may have forgotten its acknowledgement.
+    // The restarted grantor g1 may have lost its acknowledgement, so its reply does not count.
     entry.confirm({"g1", 2}, {{"z", 1}});
     EXPECT_TRUE(entry.gained.empty());
     entry.confirm(entry.agent(1), {{"x", 1}, {"y", 1}});
-    // Without a lease the table may be out of date.
+    // Without a lease the table may be stale, so nothing is gained yet.
     EXPECT_TRUE(entry.gained.empty());
     entry.reply_all();
     ASSERT_EQ(entry.gained.size(), 32U);
@@ -251,7 +258,7 @@
     EXPECT_EQ(entry.gained[0].suspects, (std::vector<incarnation>{{"x", 1}, {"y", 1}}));
 }
 
-// Guards against a takeover that rests on a minority or on old reports.
+// Guards against a takeover on the reports of a minority or on stale reports.
 TEST(ownership, silent_owner_is_removed_only_by_a_majority_of_recent_reports) {
     entry_under_test entry = acting_member(5);
     entry.advance_granted(300ms);
@@ -271,8 +278,9 @@
     EXPECT_EQ(entry.written->table.partitions.at(63), (partition_owner{self, 3}));
 }
 
-// Guards against a writer that forgets its own write, or repeats it after another one.
-TEST(ownership, lost_answer_is_resolved_by_reading_back) {
+// Guards against a writer that ignores its own committed write after losing the answer, or that writes
+// again over a later table.
+TEST(ownership, lost_write_answer_is_resolved_by_reading_the_table) {
     entry_under_test entry = acting_member(3);
     entry.take(entry.logic.leave(entry.now));
     ASSERT_TRUE(entry.written);
@@ -289,8 +297,9 @@
     EXPECT_EQ(entry.written->table.operation_id, first.table.operation_id);
 }
 
-// Guards against a loser of a race that overwrites the winner or gives up.
-TEST(ownership, lost_race_reads_again_and_builds_on_the_winner) {
+// Guards against an entry that loses a compare-and-swap race and then overwrites the winning table or stops
+// trying.
+TEST(ownership, lost_race_rereads_the_table_and_builds_on_the_winner) {
     entry_under_test entry = acting_member(3);
     entry.take(entry.logic.leave(entry.now));
     ASSERT_TRUE(entry.written);
@@ -305,7 +314,7 @@
     EXPECT_EQ(entry.written->table.version, 7U);
 }
 
-// Guards against a store that is flooded during an outage.
+// Guards against overloading the store with calls during an outage.
 TEST(ownership, store_calls_are_limited_during_an_outage) {
     entry_under_test entry = acting_member(3);
     entry.take(entry.logic.leave(entry.now));
@@ -321,7 +330,8 @@
     EXPECT_GE(entry.calls - before, 20);
 }
 
-// Guards against a fenced entry that goes on, and against one that stays out for ever.
+// Guards against an entry that keeps acting after it was removed from the table, and against one that never
+// joins again.
 TEST(ownership, removed_entry_stops_at_once_and_joins_again) {
     entry_under_test entry = acting_member(3);
     owner_table next = table_with(6, 3, 0, 3);
@@ -340,7 +350,7 @@
     EXPECT_EQ(entry.written->table.partitions.at(0), (partition_owner{self, 4}));
 }
 
-// Guards against two processes of one name that remove each other in turn.
+// Guards against two processes with the same entry name that remove each other from the table in turn.
 TEST(ownership, later_incarnation_replaces_the_earlier_one) {
     entry_under_test entry{3};
     owner_table old = table_with(5, 3, 32, 2);
@@ -361,7 +371,8 @@
     entry.acknowledge_all();
     entry.advance_granted(5s);
     EXPECT_EQ(entry.calls, calls);
-    // A late write of a dead process must not keep this one out for good.
+    // The newer incarnation may come from a late write of a process that has ended. Once it is reported as
+    // silent, this entry must try to join again.
     for (int i = 0; i < 10; ++i) {
         entry.advance(50ms);
         entry.reply_all({newer.entries.back().entry});
@@ -369,8 +380,8 @@
     EXPECT_GT(entry.calls, calls);
 }
 
-// Guards against an entry that takes its predecessor for its successor because the predecessor's last write
-// took effect after the first read.
+// Guards against an entry that takes its predecessor for its successor because the last write of the
+// predecessor took effect after the first read.
 TEST(ownership, late_write_of_a_predecessor_does_not_keep_an_entry_out) {
     entry_under_test entry{3};
     owner_table late = table_with(6, 3, 32, 2);
@@ -383,7 +394,7 @@
     EXPECT_FALSE(entry.logic.is_replaced());
 }
 
-// Guards against an entry that cannot stop because nobody could take its partitions.
+// Guards against an entry that cannot stop because no other entry can take over its partitions.
 TEST(ownership, last_entry_leaves_at_once) {
     entry_under_test entry{3};
     owner_table table = table_with(5, 3, 64, 2);
@@ -394,7 +405,8 @@
     EXPECT_TRUE(entry.logic.left());
 }
 
-// Guards against an agent that starts tasks although a restarted grantor has lost its record.
+// Guards against an agent that starts tasks although a restarted grantor has lost its record, so that no
+// majority holds it.
 TEST(ownership, agent_is_recorded_when_a_majority_holds_the_record_at_one_instant) {
     entry_under_test entry = acting_member(3);
     const incarnation agent{"x", 1};
@@ -402,13 +414,14 @@
     ASSERT_EQ(entry.requested.new_agents.back(), agent);
     entry.reply(0, entry.requested.sequence, true, {}, {agent});
     entry.advance(300ms);
-    // g0 restarts and recovers without the record before g1 holds it.
+    // g0 restarts and recovers before g1 holds the record, so g0 no longer has it.
     entry.take(entry.logic.agent_connected({"g0", 2}, entry.now));
     entry.reply(1, entry.requested.sequence, true, {}, {agent});
     entry.advance(300ms);
     entry.reply(1, entry.requested.sequence, true, {}, {agent});
     EXPECT_FALSE(entry.logic.is_recorded(agent));
-    // g2 answers after the latest request that g1 confirmed was sent, so g1 may have restarted in between.
+    // g2 confirms only after the latest request that g1 confirmed was sent; g1 may have restarted in
+    // between.
     entry.advance(50ms);
     entry.reply(2, entry.requested.sequence, true, {}, {agent});
     EXPECT_FALSE(entry.logic.is_recorded(agent));
@@ -419,8 +432,9 @@
     EXPECT_FALSE(entry.logic.is_recorded({"x", 2}));
 }
 
-// Guards against unfair shares and against new epochs for partitions that stay where they are.
-TEST(table_change, joining_entry_gets_its_fair_part) {
+// Guards against an uneven distribution of partitions, and against new epochs for partitions whose owner
+// does not change.
+TEST(table_change, joining_entry_gets_its_fair_share_of_partitions) {
     const owner_table base = table_with(5, 3, 40, 2);
     const owner_table next = with_entries_changed(base, {{}, entry_address{{"c", 1}, "address"}});
     std::map<incarnation, int> loads;
--- a/tests/ownership_world.h
+++ b/tests/ownership_world.h
@@ -26,6 +26,7 @@
 using std::chrono::nanoseconds;
 using namespace std::chrono_literals;
 
+// Faults that the simulation can inject. noise drops, duplicates and delays messages on all links.
 enum class fault_kind : std::uint8_t {
     pause_entry,
     kill_entry,
@@ -41,6 +42,7 @@
     count
 };
 
+// A fault with its start, duration and target. Kinds without a target ignore entry and agent.
 struct fault {
     nanoseconds at{};
     fault_kind kind = fault_kind::noise;
@@ -57,24 +59,28 @@
                << " agent " << f.agent << " for " << f.duration / 1ms << " ms\n";
 }
 
+// Size of the simulated cell and the conditions under which it runs.
 struct world_options {
     std::size_t entries = 3;
     std::size_t agents = 3;
-    // Agents that the test adds later.
+    // Agents that exist only after add_agents().
     std::size_t spare_agents = 0;
     std::size_t minimum_grantors = 3;
-    // Largest deviation of a process's clock rate from 1.
+    // Maximum deviation of the clock rate of a process from 1.
     double clock_rate_spread = 0.02;
-    // Delays one message in twenty by up to 300 ms at all times.
+    // Delays one message in twenty by up to 300 ms, also when no fault is active.
     bool slow_messages = true;
-    // Permits restarts that leave no majority of grantors with their memory. Ownership may then stop.
+    // Allows restarts after which no majority of grantors keeps its state. Partitions may then stay without
+    // an owner.
     bool may_lose_grantors = false;
 };
 
-// Entries, agents and a store double on one simulated clock. Checks the invariants after every event and
-// keeps the first violation.
+// Discrete-event simulation of entries, agents and a simulated store on one clock. Checks the invariants of
+// ownership while it runs and keeps the first violation.
 class ownership_world {
 public:
+    // A simulated process with its own clock rate. backlog holds the actions that arrive while it is
+    // paused; logic is null while the process is not running.
     template <typename Logic> struct process {
         incarnation id;
         std::unique_ptr<Logic> logic;
@@ -82,6 +88,8 @@
         bool paused = false;
         std::deque<std::function<void()>> backlog;
     };
+    // An entry with the times of its store calls and a cache of the partitions that it may act for under a
+    // lease. active_known is false when the cache is stale.
     struct entry_process : process<ownership> {
         std::bitset<partition_count> active;
         bool active_known = false;
@@ -91,6 +99,7 @@
         bool leaving = false;
     };
     using agent_process = process<grantor>;
+    // Number and total size of control messages.
     struct traffic {
         std::uint64_t messages = 0;
         std::uint64_t bytes = 0;
@@ -113,7 +122,7 @@
         run_until(now_ + duration, [] { return false; });
     }
 
-    // Stops early when the condition holds; returns whether it did.
+    // Runs until the time or until the condition holds after an event. Returns whether the condition held.
     template <typename Condition> bool run_until(nanoseconds end, Condition&& condition) {
         while (!events_.empty() && events_.top().at <= end && !violation_) {
             auto event = std::move(const_cast<scheduled&>(events_.top()));
@@ -147,7 +156,7 @@
         agent.rate = random_rate();
         agent.logic = std::make_unique<grantor>(agent.id, local_time(agent));
     }
-    // Agents that connect later than the first ones.
+    // Starts further agents.
     void add_agents(std::size_t count) {
         for (; count > 0; --count)
             start_agent(present_agents_++);
@@ -169,7 +178,8 @@
         perform(i, entry.logic->leave(local_time(entry)));
     }
 
-    // Cuts the entry off from all agents but one, in both directions, or with -1 ends that.
+    // Cuts the links of the entry to all agents but one in both directions (change 1), or restores them
+    // (change -1).
     void isolate_entry(std::size_t e, std::size_t reachable_agent, int change) {
         for (std::size_t a = 0; a < agents_.size(); ++a) {
             if (a == reachable_agent)
@@ -241,7 +251,7 @@
         return faults;
     }
 
-    // Index of the entry that may act for the partition now.
+    // Index of the entry that may act for the partition now, or nullopt.
     std::optional<std::size_t> owner_of(partition_id partition) const {
         for (std::size_t i = 0; i < entries_.size(); ++i) {
             const entry_process& entry = entries_[i];
@@ -269,7 +279,8 @@
     template <typename Process> time_point local_time(const Process& p) const {
         return time_point{1h + nanoseconds{static_cast<std::int64_t>(now_.count() * p.rate)}};
     }
-    // Adds up messages with any agent, from now on. size gives the bytes of one message.
+    // From now on adds all messages between entries and agents to total. size returns the bytes of one
+    // message.
     void count_traffic(traffic& total, std::function<std::size_t(const control_message&)> size) {
         traffic_ = &total;
         size_of_ = std::move(size);
@@ -280,6 +291,7 @@
     }
 
 private:
+    // An event of the simulation. Events at the same time run in the order in which they were scheduled.
     struct scheduled {
         nanoseconds at;
         std::uint64_t order;
@@ -288,6 +300,8 @@
             return std::tie(at, order) > std::tie(other.at, other.order);
         }
     };
+    // The link between an entry and an agent. A direction is cut while its count of active faults is above
+    // 0.
     struct link {
         int cut_to_agent = 0;
         int cut_to_entry = 0;
@@ -296,7 +310,8 @@
     };
 
     link& link_of(std::size_t entry, std::size_t agent) { return links_[entry * agents_.size() + agent]; }
-    // Mostly one of the extremes, because differences between them stress the fence most.
+    // Returns one of the two extremes or 1. The difference between the extremes is the hardest case for
+    // fencing.
     double random_rate() {
         const double step = static_cast<double>(random_() % 3) - 1;
         return 1 + step * options_.clock_rate_spread;
@@ -315,7 +330,8 @@
         });
     }
 
-    // Runs the action in the process after the delay, or after its pause, unless it was replaced.
+    // Runs the action in the process after the delay, or at the end of its pause. Drops it if the process
+    // was killed or replaced by then.
     template <typename Process> void post(Process& target, nanoseconds delay, std::function<void()> action) {
         schedule(delay, [&target, id = target.id, action = std::move(action)]() mutable {
             if (!target.logic || target.id != id)
@@ -386,7 +402,7 @@
                 to_entry(a, e, table_push{logic.table()});
         }
         if (logic.table().version < before)
-            fail(agents_[a].id.name + " went back to an older table");
+            fail(agents_[a].id.name + " replaced its table by an older version");
     }
 
     void entry_receives(std::size_t e, const incarnation& from, const control_message& message) {
@@ -421,7 +437,7 @@
         if (!actions.gained.empty() || !actions.lost.empty() || actions.table_changed)
             entry.active_known = false;
         if (entry.logic->table().version < entry.version)
-            fail(entry.id.name + " went back to an older table");
+            fail(entry.id.name + " replaced its table by an older version");
         entry.version = entry.logic->table().version;
         if (actions.read_table || actions.write)
             check_call(entry);
@@ -460,7 +476,8 @@
         if (store_down_ > 0)
             return respond(500ms, table_write_result::unavailable);
         if (store_loses_ > 0 && chance(50)) {
-            // The write takes effect now or after the writer gave up.
+            // The write takes effect either now or up to 3 s later, when the writer may already have timed
+            // out.
             schedule(chance(50) ? 0ms : random_time(0ms, 3000ms), [this, write] { commit(write); });
             return respond(500ms, table_write_result::unavailable);
         }
@@ -486,16 +503,17 @@
     void check_successor(const owner_table& next) {
         const table_version before = stored_ ? stored_->version : 0;
         if (next.version != before + 1 || next.partitions.size() != partition_count)
-            fail("table " + std::to_string(next.version) + " written after " + std::to_string(before));
+            fail("table " + std::to_string(next.version) + " was written after version " +
+                 std::to_string(before));
         for (std::size_t p = 0; stored_ && p < partition_count; ++p) {
             const partition_owner& old = stored_->partitions[p];
             const epoch_number expected = old.epoch + (next.partitions[p].owner == old.owner ? 0 : 1);
             if (next.partitions[p].epoch != expected)
-                fail("epoch of partition " + std::to_string(p) + " does not follow its owner");
+                fail("epoch of partition " + std::to_string(p) + " does not match the change of its owner");
         }
     }
-    // Only an entry that a majority of the grantors reported as silent within the last second may be removed
-    // by another one.
+    // An entry may remove another one only if a majority of the grantors reported that one as silent within
+    // the last second (with 50 ms of tolerance).
     void check_removals(const entry_process& writer, const owner_table& next) {
         const owner_table& base = writer.logic->table();
         for (const entry_address& known : base.entries) {
@@ -506,22 +524,24 @@
                 return found != silence_reported_at_.end() && now_ - found->second <= 1050ms;
             });
             if (!reported)
-                fail(writer.id.name + " removes " + known.entry.name + " without a majority of reports");
+                fail(writer.id.name + " removes " + known.entry.name +
+                     " without silence reports from a majority of grantors");
         }
     }
-    // Two calls may follow each other, but not within ten seconds after a failure.
+    // Two calls may follow each other directly, but calls within 10 s after a failure must be 1 s apart.
+    // Three calls within 2 s are never allowed.
     void check_call(entry_process& entry) {
         entry.calls.push_back(now_);
-        // The entry measures with its own clock.
+        // The entry measures intervals with its own clock, which may run fast.
         const nanoseconds interval{static_cast<std::int64_t>(1e9 / (1 + options_.clock_rate_spread))};
         const std::size_t n = entry.calls.size();
         const bool strict = entry.failed_call && now_ - *entry.failed_call < 9800ms;
         if (n >= 2 && strict && now_ - entry.calls[n - 2] < interval)
-            fail(entry.id.name + " called the store twice within a second after a failure");
+            fail(entry.id.name + " called the store twice within 1 s, less than 10 s after a failure");
         if (n >= 3 && now_ - entry.calls[n - 3] < 2 * interval)
-            fail(entry.id.name + " called the store three times within two seconds");
+            fail(entry.id.name + " called the store three times within 2 s");
     }
-    // A new owner has to know every agent that was on record while another entry could still act.
+    // A new owner must receive every agent that was recorded while an earlier owner could still act.
     void check_gain(const entry_process& entry, const partition_gain& gain) {
         if (gain.first_epoch)
             return;
@@ -529,7 +549,8 @@
             const bool known =
                 std::find(gain.suspects.begin(), gain.suspects.end(), agent) != gain.suspects.end();
             if (recorded_at <= held_at_[gain.partition] && !known)
-                fail(entry.id.name + " was not told of " + agent.name + " " + std::to_string(agent.number));
+                fail(entry.id.name + " did not receive the record of " + agent.name + " " +
+                     std::to_string(agent.number));
         }
     }
     void note_records(const ownership& logic) {
@@ -549,7 +570,7 @@
                 entry.active_known = true;
             }
             if ((owned & entry.active).any())
-                fail(entry.id.name + " owns partitions that another entry owns");
+                fail(entry.id.name + " owns partitions that another entry owns too");
             owned |= entry.active;
         }
         for (partition_id p = 0; p < partition_count; ++p) {
--- a/tests/ownership_world_test.cpp
+++ b/tests/ownership_world_test.cpp
@@ -18,7 +18,8 @@
     return options;
 }
 
-// Returns a description of the violation with the seed and the event list, or nullopt.
+// Runs one simulation with random faults. Returns the violation with the seed and the list of faults, or
+// nullopt.
 std::optional<std::string> run_history(std::uint64_t seed, const world_options& options) {
     ownership_world world{options, seed};
     const auto faults = world.random_faults(fault_time);
@@ -43,13 +44,13 @@
     return text == nullptr ? otherwise : std::strtoull(text, nullptr, 10);
 }
 
-// One of four parts of the random histories, so that they run in parallel.
+// The parameter selects one of four shards of the random histories, which run in parallel.
 class random_histories : public testing::TestWithParam<std::uint64_t> {};
 constexpr std::uint64_t parts = 4;
 
-// Guards against two owners of a partition, tables and epochs that go back, forgotten agent records, too
-// many store calls, and partitions that stay without an owner. OWNERSHIP_HISTORIES sets the number of
-// histories, OWNERSHIP_SEED the first seed.
+// Guards against two owners of a partition, tables and epochs that decrease, lost agent records, too many
+// store calls, and partitions that stay without an owner. OWNERSHIP_HISTORIES sets the number of histories,
+// OWNERSHIP_SEED the first seed.
 TEST_P(random_histories, keep_the_invariants) {
     const std::uint64_t first = number_from_environment("OWNERSHIP_SEED", 1);
     const std::uint64_t count = number_from_environment("OWNERSHIP_HISTORIES", default_histories);
@@ -60,7 +61,8 @@
 }
 INSTANTIATE_TEST_SUITE_P(ownership_world, random_histories, testing::Range(std::uint64_t{0}, parts));
 
-// Guards against a second owner when so many grantors restart that nobody remembers the last version.
+// Guards against a second owner of a partition after so many grantors have restarted that no majority knows
+// the last table version any more.
 TEST(ownership_world, loss_of_all_grantors_is_safe) {
     const std::uint64_t first = number_from_environment("OWNERSHIP_SEED", 1);
     const std::uint64_t count = number_from_environment("OWNERSHIP_HISTORIES", default_histories) / 4;
@@ -72,7 +74,7 @@
     }
 }
 
-// A world without random delays and faults that has all partitions owned.
+// Returns a simulation without slow messages and faults in which all partitions have an owner.
 std::unique_ptr<ownership_world> calm_world(world_options options, std::uint64_t seed) {
     options.slow_messages = false;
     auto world = std::make_unique<ownership_world>(options, seed);
@@ -81,7 +83,8 @@
     return world;
 }
 
-// Guards against a dependence of live owners on the store, and against calls of entries that need nothing.
+// Guards against owners that depend on the store to keep their leases, and against store calls of entries
+// that need none.
 TEST(ownership_world, owner_keeps_its_grants_through_a_long_store_outage) {
     const auto world = calm_world({}, 1);
     world->apply({0s, fault_kind::store_down, 0, 0, 600s});
@@ -92,7 +95,7 @@
     EXPECT_EQ(world->entry(0).calls.size(), calls);
 }
 
-// Guards against more than one store call a second from an entry that waits for the store.
+// Guards against more than one store call a second from an entry that retries during a store outage.
 TEST(ownership_world, waiting_entry_calls_the_store_at_most_once_a_second) {
     const auto world = calm_world({}, 2);
     world->apply({0s, fault_kind::store_down, 0, 0, 600s});
@@ -105,9 +108,9 @@
     EXPECT_EQ(world->violation(), std::nullopt);
 }
 
-// Guards against an old owner that acts until the end of its lease while the new owner's wait ends early:
-// the clocks differ by 4% and the old owner is cut off around the change of the table.
-TEST(ownership_world, fence_holds_for_the_largest_clock_difference) {
+// Guards against an old owner that acts until the end of its lease while the wait of the new owner ends
+// early. Clock rates differ by up to 4%, and the old owner is cut off around the time of the table change.
+TEST(ownership_world, fencing_holds_for_the_largest_clock_rate_difference) {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         world_options options;
         options.entries = 2;
@@ -122,7 +125,7 @@
     }
 }
 
-// Guards against a removed owner that resumes and acts on old grants, or that stays out.
+// Guards against a removed owner that resumes and acts on expired leases, or that never joins again.
 TEST(ownership_world, paused_owner_is_replaced_and_joins_again) {
     const auto world = calm_world({}, 3);
     const incarnation paused = world->entry(0).id;
@@ -137,10 +140,10 @@
     EXPECT_EQ(world->violation(), std::nullopt);
 }
 
-// Guards against answers that reach an owner before its pause and are read after it, when another entry owns
-// its partitions.
+// Guards against grant replies that arrive before or during the pause of an owner and are read after it,
+// when another entry owns its partitions.
 TEST(ownership_world, grants_received_during_a_pause_do_not_count_from_its_end) {
-    // With a single grantor one answer is a majority.
+    // With a single grantor, one reply is a majority.
     world_options options;
     options.entries = 2;
     options.agents = 1;
@@ -157,8 +160,9 @@
     }
 }
 
-// Guards against a stop that waits for failure detection, and against one that loses partitions.
-TEST(ownership_world, planned_leave_is_quick) {
+// Guards against a planned stop that is noticed only by failure detection, and against one that leaves
+// partitions without an owner.
+TEST(ownership_world, planned_leave_does_not_wait_for_failure_detection) {
     const auto world = calm_world({}, 4);
     world->leave_entry(0);
     EXPECT_TRUE(world->run_until(world->now() + 500ms, [&] { return !world->entry(0).logic; }));
@@ -182,14 +186,14 @@
     EXPECT_EQ(world->violation(), std::nullopt);
 }
 
-// Guards against a set that grows by a grantor which cannot yet help another one to recover: a restart at
-// that moment stopped the cell for good.
-TEST(ownership_world, restart_of_a_grantor_while_the_set_grows_is_harmless) {
+// Guards against adding a grantor that cannot yet help another one to recover: a restart at that moment
+// stopped the cell permanently.
+TEST(ownership_world, restart_of_a_grantor_while_the_set_grows_does_not_stop_the_cell) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         world_options options;
         options.entries = 1;
         options.spare_agents = 2;
-        // Otherwise the world would hold back the restart that this test is about.
+        // Otherwise the simulation would skip the restart that this test needs.
         options.may_lose_grantors = true;
         ownership_world world{options, seed};
         ASSERT_TRUE(world.run_until_owned(recovery_limit));
@@ -206,9 +210,9 @@
     }
 }
 
-// Guards against a set that grows while a grantor is down: with four named and one down, a restart of the new
-// one stopped the cell for good.
-TEST(ownership_world, set_does_not_grow_while_a_grantor_is_down) {
+// Guards against adding a grantor while another one is down: with four named and one down, a restart of the
+// new one stopped the cell permanently.
+TEST(ownership_world, grantor_set_does_not_grow_while_a_grantor_is_down) {
     world_options options;
     options.entries = 1;
     options.spare_agents = 2;
@@ -223,15 +227,15 @@
     EXPECT_EQ(world->violation(), std::nullopt);
 }
 
-// Guards against entries that hinder each other when they join together.
-TEST(ownership_world, entries_that_join_at_once_share_the_partitions) {
+// Guards against entries that block each other when they join at the same time.
+TEST(ownership_world, entries_that_join_together_share_the_partitions) {
     for (const std::size_t agents : {1U, 3U, 5U, 11U}) {
         world_options options;
         options.entries = 4;
         options.agents = agents;
         options.minimum_grantors = std::min<std::size_t>(agents, 3);
         const auto world = calm_world(options, agents);
-        // Each table change takes its writer two store calls, so the entries join about 2 s apart.
+        // Each table change needs two store calls of its writer, so the entries join about 2 s apart.
         world->run_for(5s);
         std::array<int, 4> loads{};
         for (partition_id p = 0; p < partition_count; ++p)
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -17,6 +17,7 @@
 
 using namespace std::chrono_literals;
 
+// Runs the same tests with every placement policy.
 template <typename policy> struct placement_test : testing::Test {
     std::map<std::uint32_t, int> choose_many(int times) {
         std::map<std::uint32_t, int> chosen;
@@ -33,7 +34,7 @@
     testing::Types<placement_random, placement_two_choices, placement_credits, placement_least_completion>;
 TYPED_TEST_SUITE(placement_test, all_policies);
 
-// Guards against a choice of a backend server that was removed, after updates in any order.
+// Guards against choosing a backend server that was removed, whatever the order of the updates.
 TYPED_TEST(placement_test, chooses_only_available_backend_servers) {
     std::set<std::uint32_t> available;
     for (int step = 0; step < 20000; ++step) {
@@ -54,7 +55,7 @@
     }
 }
 
-// Guards against jobs that stay incomplete or are refused although the load is moderate.
+// Guards against jobs that are refused or do not complete at 50% load.
 TYPED_TEST(placement_test, completes_all_jobs_at_moderate_load) {
     workload load;
     load.duration = 20s;
@@ -80,21 +81,23 @@
         EXPECT_NEAR(times, 1000, 150) << id;
 }
 
-// Guards against a choice that ignores the load: the most loaded is only chosen if drawn twice.
+// Guards against a choice that ignores the load: the most loaded backend server may only be chosen if both
+// draws return it.
 TEST_F(two_choices_test, prefers_the_less_loaded) {
     for (std::uint32_t id = 0; id < 10; ++id)
         placement.update(id, {8, id == 0 ? 8.0 : 1.0, 0.1}, random);
     EXPECT_LT(choose_many(10000)[0], 200);
 }
 
-// Guards against credits that ignore the size of a backend server.
+// Guards against credits that ignore the number of slots of a backend server.
 TEST_F(credits_test, prefers_the_most_free_slots) {
     placement.update(0, {8, 2, 0.1}, random);
     placement.update(1, {32, 20, 0.9}, random);
     EXPECT_EQ(choose_many(10)[1], 10);
 }
 
-// Guards against a choice of an idle slow backend server where waiting for a fast one ends earlier.
+// Guards against choosing an idle slow backend server when a task would complete earlier by waiting for a
+// fast one.
 TEST_F(least_completion_test, weighs_the_wait_against_the_speed) {
     placement.update(0, {8, 8, 0.1}, random);
     placement.update(1, {8, 0, 0.4}, random);
@@ -103,7 +106,7 @@
     EXPECT_EQ(choose_many(1)[1], 1);
 }
 
-// Guards against an estimate that one long task or a wrong first value distorts.
+// Guards against a speed estimate that is distorted by single long tasks or by a wrong initial value.
 TEST(speed_estimate, resists_outliers_and_a_wrong_prior) {
     speed_estimate estimate;
     for (int i = 0; i < 40; ++i)
@@ -112,7 +115,8 @@
     EXPECT_LT(estimate.value_or(0), 0.4);
 }
 
-// Guards against an estimate that takes minutes to notice a backend server that turned 20 times slower.
+// Guards against a speed estimate that takes minutes to follow a backend server that became 20 times
+// slower.
 TEST(speed_estimate, adopts_a_lasting_change_within_ten_samples) {
     speed_estimate estimate;
     for (int i = 0; i < 100; ++i)
@@ -122,8 +126,9 @@
     EXPECT_NEAR(estimate.value_or(0), 4.0, 2.0);
 }
 
-// Guards against response times and wasted messages beyond the aims of section 9 of the design at 70% load.
-TEST(placement, least_completion_meets_the_aims_on_eleven_backend_servers) {
+// Guards against exceeding the targets of section 9 of docs/design.md at 70% load: response times of at
+// most 1.05 (p50) and 1.3 (p99) times the ideal, and at most 1% wasted messages.
+TEST(placement, least_completion_meets_the_targets_on_eleven_backend_servers) {
     workload load;
     load.work_per_second = 0.7 * capacity_of(eleven_agents());
     const auto trace = make_trace(load);
--- a/tests/prefix_view_test.cpp
+++ b/tests/prefix_view_test.cpp
@@ -5,6 +5,7 @@
 namespace persimmonstile {
 namespace {
 
+// Drives a view of the prefix op/; the test supplies the replies of the store.
 class prefix_view_test : public testing::Test {
 protected:
     time_point now_{std::chrono::seconds{100}};
@@ -25,6 +26,7 @@
     }
 };
 
+// Guards against missing or repeating changes between a listing and the watch that follows it.
 TEST_F(prefix_view_test, follows_changes_after_a_listing) {
     list("one", 10);
     EXPECT_TRUE(view_.take_change());
@@ -37,7 +39,8 @@
     EXPECT_FALSE(view_.take_change());
 }
 
-// Guards against a configuration that goes back because a replica of the store is behind.
+// Guards against a configuration that reverts to an older revision because a listing was served by a store
+// replica that lags.
 TEST_F(prefix_view_test, never_goes_back_to_an_older_revision) {
     list("two", 12);
     view_.replied(take_call().id, history_lost{}, now_);
@@ -47,7 +50,8 @@
     EXPECT_EQ(std::get<std::string>(view_.items().at("op/config").value), "three");
 }
 
-// Guards against a watch on a connection that has gone silent while other entries know a newer version.
+// Guards against a watch on a connection that no longer delivers anything while other entries already have
+// a newer revision.
 TEST_F(prefix_view_test, lists_again_when_a_peer_has_seen_a_later_change) {
     list("one", 10);
     take_call();
@@ -60,10 +64,11 @@
     EXPECT_EQ(std::get<std::string>(view_.items().at("op/config").value), "two");
 }
 
-// Guards against entries that make each other list again and again: a listing tells the revision of the whole
-// store, which grows with every change of anything. Seen in the soak, where two entries read the operators'
-// records three times a second for good after one slow answer.
-TEST_F(prefix_view_test, takes_a_listing_without_changes_for_no_change) {
+// Guards against entries that make each other list the keys in an endless loop. A listing carries the
+// revision of the whole store, which grows with every write to any key; taken for a change of this prefix,
+// it makes the other entry list again. In the soak, one slow answer made two entries list the operators'
+// records three times a second from then on.
+TEST_F(prefix_view_test, listing_without_changes_is_not_reported_as_a_change) {
     list("one", 10);
     EXPECT_EQ(view_.change_revision(), 10U);
     EXPECT_TRUE(view_.take_change());
@@ -74,8 +79,9 @@
     EXPECT_EQ(view_.revision(), 50U);
 }
 
-// Guards against a removal that only the listing shows, and of which the peers would not hear.
-TEST_F(prefix_view_test, takes_a_listing_without_a_former_item_for_a_change) {
+// Guards against a deletion that is visible only as a missing item of a listing and would not be announced
+// to the peers.
+TEST_F(prefix_view_test, listing_that_lacks_a_known_item_is_a_change) {
     view_.replied(take_call().id,
                   item_listing{{item("one", 10), {"op/evacuate/z", std::string{}, 12}}, false, 12}, now_);
     EXPECT_TRUE(view_.take_change());
@@ -85,8 +91,8 @@
     EXPECT_EQ(view_.change_revision(), 50U);
 }
 
-// Guards against a busy process whose answers always come too late.
-TEST_F(prefix_view_test, gives_a_watch_more_time_after_a_missing_answer) {
+// Guards against a busy process in which every watch times out before its answer is read.
+TEST_F(prefix_view_test, extends_the_watch_timeout_after_a_missing_answer) {
     list("one", 10);
     const auto first = take_call();
     view_.replied(first.id, store_failure{"no answer", true}, now_);
@@ -95,6 +101,8 @@
     EXPECT_GT(second.timeout, first.timeout);
 }
 
+// Guards against taking the first page of a listing for the whole, and against a revision that skips
+// changes made between two pages.
 TEST_F(prefix_view_test, reads_all_pages_of_a_listing) {
     view_.replied(take_call().id, item_listing{{{"op/a", std::string{}, 3}}, true, 10}, now_);
     const auto next = take_call();
@@ -103,7 +111,7 @@
     EXPECT_FALSE(view_.is_known());
     view_.replied(next.id, item_listing{{{"op/b", std::string{}, 4}}, false, 11}, now_);
     EXPECT_EQ(view_.items().size(), 2U);
-    // The second page may miss changes after the first.
+    // Changes made after the first page was read may be missing from it, so its revision counts.
     EXPECT_EQ(view_.revision(), 10U);
 }
 
--- a/tests/scheduler_fault_test.cpp
+++ b/tests/scheduler_fault_test.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-// A run at 70% load on 11 backend servers and 3 entries in which something fails.
+// Simulates 11 backend servers and 3 entries at 70% load; each test injects a fault.
 struct scheduler_fault_test : testing::Test {
     scheduler_fault_test() { load.work_per_second = 0.7 * capacity_of(eleven_agents()); }
 
@@ -18,7 +18,7 @@
     void run_for(std::chrono::milliseconds time) { run.run_until(run.now + time); }
     void finish() { run.run_until(begin + load.duration + load.deadline); }
 
-    // Jobs that were admitted and did not complete, and refused ones.
+    // Jobs that were admitted but did not complete.
     int lost() const {
         int jobs = 0;
         for (const simulated_outcome& outcome : run.outcomes)
@@ -43,8 +43,9 @@
     time_point begin = run.now;
 };
 
-// Guards against a backend server that fails quickly, looks idle and therefore attracts all the work.
-TEST_F(scheduler_fault_test, fast_failures_attract_no_work_and_end_with_a_readmission) {
+// Guards against a backend server that fails every task quickly and so attracts most of the work, because
+// it always has free slots.
+TEST_F(scheduler_fault_test, backend_server_with_fast_failures_is_ejected_and_readmitted) {
     start();
     run_for(10s);
     simulated_agent& defective = run.agents[10];
@@ -60,25 +61,25 @@
     run_for(20s);
     EXPECT_GT(defective.received, repaired + 100);
     finish();
-    // Each failed task fails at most its own job.
+    // A failed task fails at most its own job.
     EXPECT_LE(lost(), static_cast<int>(while_failing) + 3);
 }
 
-// Guards against jobs that keep going to a backend server that accepts and never answers.
-TEST_F(scheduler_fault_test, a_silent_backend_server_holds_few_tasks) {
+// Guards against sending ever more tasks to a backend server that accepts them and never answers.
+TEST_F(scheduler_fault_test, unresponsive_backend_server_receives_few_tasks) {
     start();
     run_for(10s);
     run.agents[10].hangs = true;
     const std::uint32_t before = run.agents[10].received;
     finish();
-    // Each entry loses its places and a few probes.
+    // Each entry loses at most the tasks in the 8 slots, one prefetched task and 3 probes.
     EXPECT_LE(run.agents[10].received - before, 3 * (9 + 3));
     EXPECT_LE(lost(), 3 * (9 + 3));
     EXPECT_EQ(refused(), 0);
 }
 
-// Guards against a backend server that turns 20 times slower and delays every job that touches it.
-TEST_F(scheduler_fault_test, a_backend_server_that_turns_slow_is_avoided_and_readmitted) {
+// Guards against a backend server that becomes 20 times slower and delays every job with a task on it.
+TEST_F(scheduler_fault_test, slowed_backend_server_is_avoided_and_readmitted) {
     start();
     run_for(10s);
     run.agents[10].speed /= 20;
@@ -96,7 +97,7 @@
 }
 
 // Guards against ejecting the last backend servers when all of them fail.
-TEST_F(scheduler_fault_test, never_ejects_all) {
+TEST_F(scheduler_fault_test, never_ejects_all_backend_servers) {
     for (simulated_agent& agent : run.agents)
         agent.fails = true;
     start();
@@ -106,8 +107,9 @@
     EXPECT_GT(run.tasks_sent, before + 10);
 }
 
-// Guards against tasks in a zone that is out, and against a burst on its cold backend servers afterwards.
-TEST_F(scheduler_fault_test, a_zone_that_is_out_gets_nothing_and_returns_without_a_burst) {
+// Guards against tasks in an availability zone that is out of service, and against a burst of tasks on its
+// idle backend servers when it returns.
+TEST_F(scheduler_fault_test, excluded_zone_gets_no_tasks_and_returns_without_a_burst) {
     load.work_per_second = 0.6 * capacity_of(eleven_agents());
     start();
     run_for(15s);
@@ -120,7 +122,7 @@
     run.fleet.zones_out.clear();
     run.publish();
     run_for(20ms);
-    // One task from each entry for each of the three backend servers.
+    // At most one task from each of the 3 entries for each of the 3 backend servers.
     EXPECT_LE(received("south") - out, 9U);
     run_for(15s);
     EXPECT_GT(received("south") - out, 100U);
@@ -128,8 +130,8 @@
     EXPECT_LE(lost(), 3);
 }
 
-// Guards against a burst of 20 times the load that ruins the jobs before and after it.
-TEST_F(scheduler_fault_test, a_burst_is_refused_or_completed_and_passes) {
+// Guards against a burst of 20 times the capacity that makes earlier or later jobs miss their deadlines.
+TEST_F(scheduler_fault_test, overload_burst_is_refused_or_completed_and_later_jobs_complete) {
     auto trace = make_trace(load);
     workload burst = load;
     burst.work_per_second = 20 * capacity_of(eleven_agents());
@@ -158,8 +160,9 @@
     EXPECT_LE(late, static_cast<int>(trace.size() / 50));
 }
 
-// Guards against a declaration of ten times the real slots, which the agent answers with refusals.
-TEST(scheduler_fault, a_tenfold_declaration_wastes_few_messages) {
+// Guards against an agent that announces ten times its real slots: it refuses the excess tasks, and their
+// messages are wasted.
+TEST(scheduler_fault, tenfold_announced_slots_waste_few_messages) {
     auto agents = eleven_agents();
     agents[5].announced_slots = 80;
     workload load;
@@ -173,8 +176,8 @@
         EXPECT_TRUE(outcome.response);
 }
 
-// Guards against a team that takes the capacity of others by offering ten times its share.
-TEST(scheduler_fault, one_of_670_teams_cannot_displace_the_others) {
+// Guards against a team that offers ten times its share of the load and takes the capacity of other teams.
+TEST(scheduler_fault, one_overloading_team_of_670_does_not_starve_the_others) {
     constexpr std::uint32_t teams = 670;
     constexpr double seconds = 40;
     std::vector<simulated_agent> agents(11);
@@ -205,8 +208,9 @@
     EXPECT_GE(static_cast<double>(completed), 0.95 * static_cast<double>(others));
 }
 
-// Guards against cancellations that slow down other jobs. 10,000 waiting jobs are cancelled in one second.
-TEST(scheduler_fault, a_wave_of_cancellations_does_not_slow_other_jobs) {
+// Guards against cancellations that slow down other jobs. The test cancels 10,000 waiting jobs within one
+// second.
+TEST(scheduler_fault, mass_cancellation_does_not_slow_other_jobs) {
     const auto slowest = [](bool cancelled) {
         workload load;
         load.duration = 10s;
--- a/tests/scheduler_simulation.h
+++ b/tests/scheduler_simulation.h
@@ -19,7 +19,7 @@
 
 namespace persimmonstile {
 
-// One submission with the work of its tasks, in seconds on a backend server of speed 1.
+// One submitted job. work is the work of each task, in seconds on a backend server of speed 1.
 struct simulated_job {
     time_point arrival;
     job_spec spec;
@@ -27,19 +27,22 @@
     std::uint32_t entry = 0;
 };
 
+// How a job ended; neither is set if it was admitted but did not complete.
 struct simulated_outcome {
-    // Seconds from submission to the last answer, if the job completed.
+    // Response time in seconds, from submission to the last task result, if the job completed.
     std::optional<double> response;
     std::optional<job_failed> refused;
 };
 
+// An agent with its backend server. fails makes every task fail after 5 ms; hangs makes started tasks never
+// end.
 struct simulated_agent {
     double speed = 1;
     std::uint32_t slots = 8;
     std::string zone = "north";
     bool fails = false;
     bool hangs = false;
-    // What the agent announces, if that is not the truth.
+    // Slots that the agent announces; 0 announces the real number.
     std::uint32_t announced_slots = 0;
     std::uint32_t running = 0;
     std::uint32_t received = 0;
@@ -52,7 +55,7 @@
     }
 };
 
-// Event loop that plays agents, network and callers around the schedulers of a few entries.
+// Discrete-event simulation of callers, network and agents around the schedulers of several entries.
 template <placement_policy policy = placement_least_completion> class scheduler_simulation {
 public:
     static constexpr std::chrono::microseconds delay{1500};
@@ -115,6 +118,7 @@
     double work_done = 0;
 
 private:
+    // An action at a time. Actions at the same time run in the order in which they were scheduled.
     struct event {
         time_point time;
         std::uint64_t sequence = 0;
@@ -235,7 +239,7 @@
 
     std::priority_queue<event> events_;
     std::uint64_t sequence_ = 0;
-    // Tasks without a result, 0 once the job has ended.
+    // Number of tasks without a result, by job; 0 once the job has ended.
     std::vector<std::size_t> left_;
     std::vector<time_point> wakeups_;
 };
@@ -248,7 +252,7 @@
     return fleet;
 }
 
-// 11 backend servers of speeds 1 to 4 in three zones, as both of today's deployments have them.
+// 11 backend servers with speeds from 1 to 4 in three availability zones, as in both current deployments.
 inline std::vector<simulated_agent> eleven_agents() {
     std::vector<simulated_agent> agents(11);
     for (std::size_t i = 0; i < agents.size(); ++i) {
@@ -265,8 +269,9 @@
     return capacity;
 }
 
-// Half single requests, half jobs of 8 tasks in the median. Tasks take 50 ms to 5 s with a median of 200 ms
-// on a backend server of average speed 2.5.
+// Parameters of a generated trace. Half of the submissions are requests of one task, half are jobs with a
+// median of 8 tasks. Tasks take 50 ms to 5 s, with a median of 200 ms, on a backend server of the average
+// speed of 2.5.
 struct workload {
     double work_per_second = 1;
     std::chrono::seconds duration{60};
@@ -298,7 +303,7 @@
             sum += work;
         trace.push_back(std::move(job));
     }
-    // Poisson arrivals: independent uniform times.
+    // Independent uniform arrival times form a Poisson process.
     std::uniform_real_distribution<double> when{0, std::chrono::duration<double>{load.duration}.count()};
     std::vector<double> times(trace.size());
     for (double& time : times)
@@ -310,8 +315,8 @@
     return trace;
 }
 
-// Response times of a central queue without network that knows all speeds and gives each task, in the order
-// of arrival, to the fastest idle slot. The yardstick of section 9 of the design.
+// Returns the response times of an ideal central queue: no network delay, all speeds known, and each task
+// goes in order of arrival to the fastest idle slot. Section 9 of docs/design.md compares against it.
 inline std::vector<double> ideal_responses(const std::vector<simulated_job>& trace,
                                            const std::vector<simulated_agent>& agents) {
     std::multimap<double, double, std::greater<>> idle;
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -15,6 +15,7 @@
 
 const std::string service_name = "form";
 
+// A scheduler with one service and teams a and b; the test plays agents, callers and clock.
 struct scheduler_test : testing::Test {
     scheduler_test() {
         fleet.services[service_name];
@@ -83,7 +84,7 @@
     scheduler target;
 };
 
-// Guards against a task that is sent twice or lost between the queue and the assignments.
+// Guards against a task that is sent twice or is lost between the queue and the assignments.
 TEST_F(scheduler_test, assigns_each_task_once) {
     connect(1, 8);
     connect(2, 8);
@@ -102,7 +103,8 @@
     EXPECT_EQ(target.waiting_tasks(), 0U);
 }
 
-// Guards against early binding: tasks queue at an agent that turns out to be slow.
+// Guards against early binding: tasks that queue at one agent wait there if it turns out to be slow,
+// although another agent could run them.
 TEST_F(scheduler_test, keeps_at_most_slots_and_prefetch_outstanding) {
     connect(1, 8);
     admit("job", job_of(100));
@@ -111,7 +113,7 @@
     EXPECT_TRUE(target.take_assignments(now).empty());
 }
 
-// Guards against two messages to one agent for one job.
+// Guards against more than one message to an agent for the same job.
 TEST_F(scheduler_test, batches_the_tasks_of_a_job_for_an_agent) {
     connect(1, 8);
     connect(2, 8);
@@ -121,11 +123,11 @@
         EXPECT_TRUE(seen.emplace(each.job, each.agent).second);
 }
 
-// Guards against a report that is sent again after a reconnect and frees a second place.
+// Guards against a task report that is sent again after a reconnect and frees a second slot.
 TEST_F(scheduler_test, ignores_a_repeated_report) {
     connect(1, 1);
     admit("job", job_of(10));
-    // The first success opens the window of a new agent.
+    // The first success widens the window of tasks in flight at a new agent.
     succeed(target.take_assignments(now));
     const auto first = target.take_assignments(now);
     ASSERT_EQ(count(first), 2U);
@@ -136,8 +138,8 @@
     EXPECT_EQ(count(target.take_assignments(now)), 0U);
 }
 
-// Guards against overloading an agent that other entries already keep busy.
-TEST_F(scheduler_test, leaves_room_for_the_tasks_of_other_entries) {
+// Guards against overloading an agent whose slots are already used by other entries.
+TEST_F(scheduler_test, leaves_slots_for_the_tasks_of_other_entries) {
     target.set_entry_count(2);
     connect(1, 8);
     target.load_reported(agent(1), service_name, {8, 8, 0}, now);
@@ -145,8 +147,8 @@
     EXPECT_LE(count(target.take_assignments(now)), 4U);
 }
 
-// Guards against a loop of resends to an agent that refuses everything.
-TEST_F(scheduler_test, pauses_an_agent_that_refuses) {
+// Guards against a retry loop with an agent that refuses every task.
+TEST_F(scheduler_test, backs_off_from_an_agent_that_refuses) {
     connect(1, 8);
     admit("job", job_of(1));
     int sent = 0;
@@ -162,8 +164,9 @@
     EXPECT_LE(sent, 12);
 }
 
-// Guards against waiting work that stays forever although its agent may take tasks again.
-TEST_F(scheduler_test, next_wakeup_names_the_end_of_a_pause) {
+// Guards against tasks that stay in the queue forever: the backoff of their agent has ended, but no event
+// triggers new assignments.
+TEST_F(scheduler_test, next_wakeup_is_the_end_of_a_refusal_backoff) {
     connect(1, 1);
     admit("job", job_of(1));
     report(target.take_assignments(now).at(0), 0, task_status::not_started, 0us, refusal::queue_full);
@@ -174,7 +177,7 @@
     EXPECT_EQ(count(target.take_assignments(now)), 1U);
 }
 
-// Guards against tasks of ended jobs that keep slots busy.
+// Guards against tasks of ended jobs that still take slots, and against dropping the tasks of another job.
 TEST_F(scheduler_test, withdraw_drops_only_the_waiting_tasks_of_the_job) {
     connect(1, 1);
     admit("a", job_of(10));
@@ -185,8 +188,8 @@
         EXPECT_EQ(each.job, "b");
 }
 
-// Guards against places that stay taken by the tasks of an agent that is gone.
-TEST_F(scheduler_test, a_lost_agent_frees_the_running_count_of_its_team) {
+// Guards against tasks of a lost agent that count against max_running of their team forever.
+TEST_F(scheduler_test, losing_an_agent_frees_the_running_count_of_its_team) {
     fleet.teams["a"].max_running = 2;
     publish();
     connect(1, 8);
@@ -197,7 +200,8 @@
     EXPECT_EQ(count(target.take_assignments(now)), 2U);
 }
 
-// Guards against tasks for an agent that cannot be reached or is leaving.
+// Guards against assigning tasks to an agent that is unreachable or draining, or whose availability zone is
+// out of service.
 TEST_F(scheduler_test, sends_nothing_to_disconnected_draining_or_excluded_agents) {
     connect(1, 8, "north");
     connect(2, 8, "south");
@@ -214,8 +218,8 @@
     EXPECT_EQ(count(target.take_assignments(now)), 4U);
 }
 
-// Guards against a request that waits for all tasks of a long job of its team.
-TEST_F(scheduler_test, requests_pass_the_jobs_of_their_team) {
+// Guards against a request that waits until all tasks of a long job of its team have run.
+TEST_F(scheduler_test, requests_overtake_the_jobs_of_their_team) {
     connect(1, 1);
     admit("long", job_of(500));
     auto running = target.take_assignments(now);
@@ -228,7 +232,7 @@
     EXPECT_TRUE(sent);
 }
 
-// Guards against jobs that never proceed while their team sends requests all the time.
+// Guards against jobs that make no progress while their team sends requests continuously.
 TEST_F(scheduler_test, requests_do_not_starve_jobs) {
     connect(1, 1);
     admit("long", job_of(500));
@@ -245,8 +249,8 @@
     EXPECT_GE(job_tasks, 15);
 }
 
-// Guards against a share that depends on the number of jobs a team submits instead of its weight.
-TEST_F(scheduler_test, shares_divide_a_contended_service) {
+// Guards against dividing capacity by the number of jobs of each team instead of by its share.
+TEST_F(scheduler_test, teams_run_tasks_in_proportion_to_their_shares) {
     fleet.teams["a"].share = 3;
     publish();
     connect(1, 8);
@@ -266,7 +270,7 @@
 
 // Guards against callers that retry a job that can never run, or that take the refusal for a lack of
 // capacity.
-TEST_F(scheduler_test, refuses_for_good_what_can_never_run) {
+TEST_F(scheduler_test, refuses_jobs_that_can_never_run_without_retry) {
     connect(1, 8);
     fleet.services[service_name].max_tasks = 100;
     publish();
@@ -282,8 +286,9 @@
     EXPECT_EQ(target.waiting_tasks(), 0U);
 }
 
-// Guards against a new entry that tells callers to go away before its agents have connected.
-TEST_F(scheduler_test, tells_agents_that_are_not_yet_known_from_agents_that_left) {
+// Guards against a new entry that refuses jobs with a long retry delay although its agents are about to
+// connect.
+TEST_F(scheduler_test, distinguishes_agents_not_yet_connected_from_agents_that_left) {
     const auto early = admit("job", job_of(1));
     ASSERT_TRUE(early);
     connect(1, 8);
@@ -296,8 +301,8 @@
     EXPECT_GT(late->retry_after_ms, early->retry_after_ms);
 }
 
-// Guards against an unbounded queue, and against one team that leaves no place for others.
-TEST_F(scheduler_test, bounds_the_queue_and_the_part_of_a_team) {
+// Guards against an unbounded queue, and against one team that fills the whole queue.
+TEST_F(scheduler_test, limits_the_queue_and_the_fraction_of_a_team) {
     fleet.services[service_name].queue_limit = 1000;
     publish();
     connect(1, 1);
@@ -312,8 +317,9 @@
     EXPECT_TRUE(admit("b-2", job_of(150, "b")));
 }
 
+// A scheduler that has already observed the run times of its only agent.
 struct deadline_test : scheduler_test {
-    // 8 slots and tasks of 1 s: 8 tasks per second.
+    // 8 slots and tasks of 1 s give a capacity of 8 tasks per second.
     deadline_test() {
         connect(1, 8);
         admit("first", job_of(32));
@@ -324,8 +330,8 @@
     }
 };
 
-// Guards against work on jobs that miss their deadline, and against refusing those that would not.
-TEST_F(deadline_test, refuses_what_cannot_end_in_time) {
+// Guards against admitting jobs that will miss their deadline, and against refusing jobs that will meet it.
+TEST_F(deadline_test, refuses_jobs_that_cannot_meet_their_deadline) {
     ASSERT_FALSE(admit("backlog", job_of(160)));
     const auto refused = admit("late", job_of(160), 25s);
     ASSERT_TRUE(refused);
@@ -336,8 +342,9 @@
     EXPECT_FALSE(admit("short", request_of(), 3s));
 }
 
-// Guards against a refusal for good because of an estimate that no later run time can correct.
-TEST_F(deadline_test, a_deadline_that_never_fits_is_no_lack_of_capacity_and_is_tried_again) {
+// Guards against permanent refusal on the basis of an estimate: if no such job is admitted, no later run
+// time can correct the estimate.
+TEST_F(deadline_test, deadline_below_the_run_time_is_no_lack_of_capacity_and_is_rechecked) {
     admit("recent", job_of(1));
     const auto refused = admit("job", job_of(80), 5s);
     ASSERT_TRUE(refused);
@@ -346,8 +353,8 @@
     EXPECT_FALSE(admit("job", job_of(80), 5s));
 }
 
-// Guards against tasks of a job whose deadline has passed or cannot be met any more.
-TEST_F(deadline_test, sends_no_tasks_of_hopeless_jobs) {
+// Guards against assigning tasks of a job whose deadline has passed or can no longer be met.
+TEST_F(deadline_test, sends_no_tasks_of_jobs_that_cannot_meet_their_deadline) {
     admit("blocker", job_of(9));
     const auto running = target.take_assignments(now);
     ASSERT_FALSE(admit("job", job_of(80), 60s));
@@ -358,7 +365,7 @@
     EXPECT_EQ(target.waiting_tasks(), 0U);
 }
 
-// Guards against jobs that are given up because capacity was missing for a moment.
+// Guards against dropping jobs because capacity was missing for a short time.
 TEST_F(deadline_test, resumes_jobs_when_capacity_returns) {
     connect(2, 32);
     ASSERT_FALSE(admit("job", job_of(100), 20s));
@@ -367,7 +374,7 @@
     EXPECT_TRUE(target.take_assignments(now).empty());
     connect(1, 8);
     now += 11s;
-    // 8 slots cannot complete 100 tasks of 1 s in the 9 s that are left, 40 slots can.
+    // In the remaining 9 s, 8 slots cannot complete 100 tasks of 1 s; 40 slots can.
     EXPECT_TRUE(target.take_assignments(now).empty());
     connect(2, 32);
     ASSERT_TRUE(target.next_wakeup());
@@ -375,7 +382,8 @@
     EXPECT_GE(count(target.take_assignments(now)), 16U);
 }
 
-// Guards against a job that is never queued because an earlier one under its id still has a lost task.
+// Guards against a job that is never queued because a withdrawn job with the same id still has an
+// unreported task.
 TEST_F(scheduler_test, admits_the_id_of_a_withdrawn_job_again) {
     connect(1, 8);
     admit("job", job_of(2));
@@ -385,8 +393,8 @@
     EXPECT_EQ(count(target.take_assignments(now)), 2U);
 }
 
-// Guards against a quota that every entry grants in full.
-TEST_F(scheduler_test, each_entry_enforces_its_part_of_a_quota) {
+// Guards against a quota that each entry applies in full, so that the cell exceeds it several times over.
+TEST_F(scheduler_test, each_entry_enforces_its_fraction_of_a_quota) {
     fleet.teams["a"].max_running = 6;
     publish();
     target.set_entry_count(3);
@@ -396,8 +404,8 @@
     EXPECT_EQ(count(target.take_assignments(now)), 2U);
 }
 
-// Guards against refusals that multiply the messages of an overloaded system: beyond a small reserve, at most
-// 10% of the load is sent again.
+// Guards against retries that multiply the messages of an overloaded system. Beyond a small reserve,
+// retries may add at most 10% to the load.
 TEST_F(scheduler_test, retries_stay_within_the_budget) {
     for (std::uint64_t i = 1; i <= 100; ++i)
         connect(i, 8);
@@ -421,13 +429,13 @@
     }
     const int first_time = 200 * 10;
     EXPECT_GE(sent, first_time);
-    // The reserve of 20, 10% of the tasks sent and 2 per second.
+    // The retry budget: a reserve of 20, 10% of the tasks sent, and 2 per second.
     EXPECT_LE(sent - first_time, 20 + sent / 10 + 4 + 1);
     EXPECT_GT(refused, 500);
 }
 
-// Guards against a held retry that is never sent because nothing else happens.
-TEST_F(scheduler_test, next_wakeup_names_the_next_retry) {
+// Guards against a delayed retry that is never sent because no other event triggers new assignments.
+TEST_F(scheduler_test, next_wakeup_is_the_time_of_the_next_retry) {
     connect(1, 1);
     admit("job", job_of(1));
     for (int i = 0; i < 60; ++i) {
--- a/tests/session_keeper_test.cpp
+++ b/tests/session_keeper_test.cpp
@@ -11,7 +11,7 @@
 namespace persimmonstile {
 namespace {
 
-// One keeper beside a store that answers while it is up.
+// Runs one session_keeper against a model of the store that answers while is_up_ is set.
 class session_keeper_test : public testing::Test {
 protected:
     time_point now_{std::chrono::seconds{100}};
@@ -55,7 +55,7 @@
         }
     }
 
-    // Another entry, which lives as long as its key is there.
+    // Adds another entry. It counts as alive while its liveness key exists.
     void add_other(const incarnation& session) {
         member_entry record = self(session.name);
         record.session = session;
@@ -64,7 +64,8 @@
     }
 };
 
-TEST_F(session_keeper_test, begins_a_session_that_lives_under_a_lease) {
+// Guards against a session whose liveness key expires because its lease is not renewed.
+TEST_F(session_keeper_test, begins_a_session_and_renews_its_lease) {
     serve();
     ASSERT_EQ(keeper_.session().number, 1U);
     EXPECT_TRUE(store_.items().contains(alive_key(keeper_.session())));
@@ -73,8 +74,9 @@
     EXPECT_EQ(keeper_.session().number, 1U);
 }
 
-// Guards against an entry that takes its own claim, whose answer was lost, for another session and adopts it.
-TEST_F(session_keeper_test, recognises_a_claim_whose_answer_was_lost) {
+// Guards against an entry whose claim was committed but whose answer was lost, and which then takes its own
+// record for that of another session and adopts it.
+TEST_F(session_keeper_test, recognizes_its_own_claim_when_the_answer_was_lost) {
     for (int i = 0; i < 10 && keeper_.session().number == 0; ++i) {
         for (const session_keeper::call& call : keeper_.take_calls(now_)) {
             std::optional<store_reply> reply = store_.call(call.what, now_);
@@ -92,9 +94,9 @@
     EXPECT_TRUE(keeper_.members().adoptions().empty());
 }
 
-// Guards against jobs that wait for a lease to run out although the process that owned them has started
-// again.
-TEST_F(session_keeper_test, adopts_the_jobs_of_its_former_process_at_once) {
+// Guards against jobs that wait for a lease to expire although the process that owned them has already
+// restarted.
+TEST_F(session_keeper_test, adopts_the_jobs_of_its_previous_process_at_once) {
     const incarnation former{"entry", 77};
     add_other(former);
     store_.put(open_key(former, "a"), open_job{});
@@ -106,8 +108,8 @@
     EXPECT_EQ(adopted[0].jobs.size(), 1U);
 }
 
-// Guards against sessions that lapsed during an outage and lose their jobs before they can return.
-TEST_F(session_keeper_test, gives_lapsed_sessions_time_to_return_after_an_outage) {
+// Guards against adopting the jobs of sessions that expired during a store outage before they can renew.
+TEST_F(session_keeper_test, gives_expired_sessions_time_to_return_after_an_outage) {
     const incarnation other{"other", 9};
     add_other(other);
     serve();
@@ -123,7 +125,7 @@
     EXPECT_EQ(keeper_.take_adopted().size(), 1U);
 }
 
-// Guards against taking jobs from an entry that lives and has only lost its key.
+// Guards against adopting the jobs of an entry that is alive and has only lost its liveness key.
 TEST_F(session_keeper_test, does_not_adopt_a_session_that_is_connected) {
     const incarnation other{"other", 9};
     add_other(other);
@@ -138,8 +140,8 @@
     EXPECT_EQ(keeper_.take_adopted().size(), 1U);
 }
 
-// Guards against jobs that wait although their owner has said that it ends.
-TEST_F(session_keeper_test, adopts_from_an_entry_that_leaves_without_waiting) {
+// Guards against jobs that wait for the adoption delay although their owner has announced that it leaves.
+TEST_F(session_keeper_test, adopts_the_jobs_of_a_leaving_entry_without_delay) {
     const incarnation other{"other", 9};
     add_other(other);
     serve();
@@ -153,8 +155,8 @@
     EXPECT_EQ(keeper_.take_adopted().size(), 1U);
 }
 
-// Guards against a life sign that stays away after its keys were revoked.
-TEST_F(session_keeper_test, writes_its_life_sign_again_when_its_lease_is_gone) {
+// Guards against a liveness key that stays deleted after its lease was revoked.
+TEST_F(session_keeper_test, rewrites_its_liveness_key_when_its_lease_is_gone) {
     serve();
     store_.revoke_leases();
     pass(milliseconds{1500});
@@ -162,7 +164,8 @@
     EXPECT_EQ(keeper_.session().number, 1U);
 }
 
-// Guards against a view of the members that stays old after the history is gone.
+// Guards against a stale view of the members after the store has compacted the history that the watch
+// needs.
 TEST_F(session_keeper_test, lists_the_members_again_when_the_history_is_lost) {
     serve();
     for (const session_keeper::call& call : std::exchange(waiting_, {}))
@@ -173,7 +176,7 @@
     EXPECT_NE(keeper_.members().find_entry("other"), nullptr);
 }
 
-// Guards against two sessions that both believe to own the jobs.
+// Guards against two sessions of the same entry that both act as owner of its jobs.
 TEST_F(session_keeper_test, begins_another_session_when_its_record_is_replaced) {
     serve();
     store_.remove(entry_key("entry"));
