--- a/tests/agent_tasks_test.cpp
+++ b/tests/agent_tasks_test.cpp
@@ -112,7 +112,7 @@
     EXPECT_EQ(tasks_.stale_messages(), 1U);
 }
 
-// Guards against a task that is dropped without the owner's knowledge. In history 14676 of job_world a
+// Guards against a task that is dropped without the owner's knowledge. In history 14676 of job_simulation a
 // duplicate query arrived after the dispatch that followed the answer to the first query.
 TEST_F(agent_tasks_test, a_late_duplicate_query_drops_no_task) {
     const query_job query{partition_of("job"), 2, "job"};
@@ -125,8 +125,8 @@
     EXPECT_EQ(ended.calls.at(0).index, 2U);
 }
 
-// Guards against a second start. In history 492 of job_world an owner confirmed an adopted task with a copy
-// of its dispatch while the refusal of the task was in flight. The refusal then sent the task to another
+// Guards against a second start. In history 492 of job_simulation an owner confirmed an adopted task with a
+// copy of its dispatch while the refusal of the task was in flight. The refusal then sent the task to another
 // agent.
 TEST_F(agent_tasks_test, a_dispatch_of_an_adopted_attempt_is_a_duplicate) {
     dispatch_task(0);
--- a/tests/commit_queue_test.cpp
+++ b/tests/commit_queue_test.cpp
@@ -58,10 +58,10 @@
     ASSERT_EQ(results.size(), 1U);
     EXPECT_EQ(results[0].what.job, "known");
     EXPECT_EQ(results[0].outcome, commit_outcome::conflict);
-    const auto again = queue_.take_writes(now_);
-    ASSERT_EQ(again.size(), 1U);
-    ASSERT_EQ(again[0].call.conditions.size(), 2U);
-    EXPECT_EQ(again[0].call.conditions[1].key, job_key("fresh"));
+    const auto retried_writes = queue_.take_writes(now_);
+    ASSERT_EQ(retried_writes.size(), 1U);
+    ASSERT_EQ(retried_writes[0].call.conditions.size(), 2U);
+    EXPECT_EQ(retried_writes[0].call.conditions[1].key, job_key("fresh"));
 }
 
 // Guards against a conflict with the session's own record: an unacknowledged attempt wrote the job, and the
@@ -70,12 +70,12 @@
     accept("a");
     const auto writes = queue_.take_writes(now_);
     queue_.replied(writes[0].id, store_failure{"no answer", true}, now_);
-    const auto again = queue_.take_writes(now_);
-    ASSERT_EQ(again.size(), 1U);
-    EXPECT_EQ(again[0].call.puts.size(), writes[0].call.puts.size());
+    const auto retried_writes = queue_.take_writes(now_);
+    ASSERT_EQ(retried_writes.size(), 1U);
+    EXPECT_EQ(retried_writes[0].call.puts.size(), writes[0].call.puts.size());
     job_status own;
     own.owner = session_;
-    queue_.replied(again[0].id, write_conflict{{entry_item(), {job_key("a"), own, 44}}}, now_);
+    queue_.replied(retried_writes[0].id, write_conflict{{entry_item(), {job_key("a"), own, 44}}}, now_);
     const auto results = queue_.take_results();
     ASSERT_EQ(results.size(), 1U);
     EXPECT_EQ(results[0].outcome, commit_outcome::durable);
@@ -140,10 +140,10 @@
     const auto writes = queue_.take_writes(now_);
     const std::string key = open_key(session_, "a");
     queue_.replied(writes[0].id, write_conflict{{entry_item(), {key, open_job{}, 33}}}, now_);
-    const auto again = queue_.take_writes(now_);
-    ASSERT_EQ(again.size(), 1U);
-    EXPECT_EQ(again[0].call.conditions[1], (store_condition{key, 33}));
-    queue_.replied(again[0].id, write_conflict{{entry_item(), {key, *record, 35}}}, now_);
+    const auto retried_writes = queue_.take_writes(now_);
+    ASSERT_EQ(retried_writes.size(), 1U);
+    EXPECT_EQ(retried_writes[0].call.conditions[1], (store_condition{key, 33}));
+    queue_.replied(retried_writes[0].id, write_conflict{{entry_item(), {key, *record, 35}}}, now_);
     const auto results = queue_.take_results();
     ASSERT_EQ(results.size(), 1U);
     EXPECT_EQ(results[0].outcome, commit_outcome::durable);
--- a/tests/entry_core_test.cpp
+++ b/tests/entry_core_test.cpp
@@ -13,7 +13,7 @@
 namespace persimmonstile {
 namespace {
 
-constexpr milliseconds call_lease = caller_contact_lease(default_caller_resend_delay);
+constexpr milliseconds contact_lease = caller_contact_lease(default_caller_resend_delay);
 constexpr link_number agent_link = 11;
 constexpr std::int64_t task_millicores = 3000;
 
@@ -29,7 +29,7 @@
     entry_core entry_{process_, self(), entry_limits{}, "op/", 1, [this] {
                           return ++last_session_;
                       }};
-    std::vector<store_request> calls_;
+    std::vector<store_request> store_requests_;
     std::vector<std::pair<link_number, work_message>> messages_;
     std::vector<caller_reply> replies_;
     std::vector<decision> decisions_;
@@ -46,7 +46,7 @@
 
     void collect() {
         entry_output output = entry_.take_output(now_);
-        std::move(output.store_calls.begin(), output.store_calls.end(), std::back_inserter(calls_));
+        std::move(output.store_calls.begin(), output.store_calls.end(), std::back_inserter(store_requests_));
         std::move(output.messages.begin(), output.messages.end(), std::back_inserter(messages_));
         std::move(output.replies.begin(), output.replies.end(), std::back_inserter(replies_));
         std::move(output.decisions.begin(), output.decisions.end(), std::back_inserter(decisions_));
@@ -68,12 +68,12 @@
         collect();
         for (bool has_answered = true; has_answered;) {
             has_answered = false;
-            const std::vector<store_request> calls = std::exchange(calls_, {});
+            const std::vector<store_request> calls = std::exchange(store_requests_, {});
             for (const store_request& request : calls) {
                 const std::optional<store_reply> reply =
                     is_held(request.call) ? std::nullopt : store_.call(request.call, now_);
                 if (!reply) {
-                    calls_.push_back(request);
+                    store_requests_.push_back(request);
                     continue;
                 }
                 has_answered = true;
@@ -83,7 +83,7 @@
         }
     }
 
-    void pass(milliseconds time) {
+    void advance_time(milliseconds time) {
         now_ += time;
         wall_ += time;
         entry_.tick(now_, wall_);
@@ -125,7 +125,7 @@
         entry_.received(link, view_ping{}, now_, wall_);
         entry_.received(link, run_inventory{process_, {}, 0}, now_, wall_);
         entry_.received(link, run_inventory{entry_.session(), {}, 0}, now_, wall_);
-        pass(milliseconds{1});
+        advance_time(milliseconds{1});
         serve_store();
     }
 
@@ -202,7 +202,7 @@
 TEST_F(entry_core_test, answers_a_job_at_its_end_without_writing_to_the_store) {
     prepare();
     connect_agent();
-    calls_.clear();
+    store_requests_.clear();
     const caller_token token = submit(job("a", false));
     const std::vector<run_ref> runs = take_starts();
     ASSERT_EQ(runs.size(), 2U);
@@ -211,9 +211,10 @@
     report(report_of(runs[1], run_state::done));
     ASSERT_TRUE(reply_to(token));
     EXPECT_EQ(reply_to(token)->state, job_state::completed);
-    const bool has_written = std::any_of(calls_.begin(), calls_.end(), [](const store_request& request) {
-        return std::holds_alternative<store_write>(request.call);
-    });
+    const bool has_written =
+        std::any_of(store_requests_.begin(), store_requests_.end(), [](const store_request& request) {
+            return std::holds_alternative<store_write>(request.call);
+        });
     EXPECT_FALSE(has_written);
 }
 
@@ -259,15 +260,15 @@
 TEST_F(entry_core_test, refuses_an_unplaced_job_that_can_no_longer_end_in_time) {
     prepare();
     const caller_token token = submit(job("a", false));
-    pass(milliseconds{550});
+    advance_time(milliseconds{550});
     EXPECT_FALSE(reply_to(token));
-    pass(milliseconds{20});
+    advance_time(milliseconds{20});
     ASSERT_TRUE(reply_to(token));
     EXPECT_EQ(reply_to(token)->kind, caller_reply_kind::refused);
     EXPECT_EQ(reply_to(token)->reason, submit_refusal::overloaded);
     EXPECT_GT(reply_to(token)->retry_after.count(), 0);
     connect_agent();
-    pass(milliseconds{20});
+    advance_time(milliseconds{20});
     EXPECT_TRUE(take_starts().empty());
 }
 
@@ -280,7 +281,7 @@
     ASSERT_EQ(take_starts().size(), 1U);
     entry_.link_closed(agent_link);
     for (int i = 0; i < 200; ++i)
-        pass(milliseconds{10});
+        advance_time(milliseconds{10});
     ASSERT_TRUE(reply_to(token));
     EXPECT_EQ(reply_to(token)->kind, caller_reply_kind::uncertain);
 }
@@ -292,7 +293,7 @@
     job_submission request = job("a", false);
     request.answer_by = now_ + milliseconds{300};
     const caller_token token = submit(request);
-    pass(milliseconds{200});
+    advance_time(milliseconds{200});
     ASSERT_TRUE(reply_to(token));
     EXPECT_EQ(reply_to(token)->kind, caller_reply_kind::refused);
 }
@@ -304,7 +305,7 @@
     connect_agent();
     const caller_token token = submit(job("a", false));
     take_starts();
-    pass(milliseconds{2000});
+    advance_time(milliseconds{2000});
     ASSERT_TRUE(reply_to(token));
     EXPECT_EQ(reply_to(token)->kind, caller_reply_kind::uncertain);
     EXPECT_EQ(take_messages<run_stop_request>().size(), 1U);
@@ -315,15 +316,15 @@
 TEST_F(entry_core_test, logs_a_summary_of_a_job_that_ends_late) {
     prepare();
     const caller_token token = submit(job("a", false, 1));
-    pass(milliseconds{80});
+    advance_time(milliseconds{80});
     connect_agent();
     std::vector<run_ref> runs = take_starts();
     ASSERT_EQ(runs.size(), 1U);
-    pass(milliseconds{100});
+    advance_time(milliseconds{100});
     report(report_of(runs[0], run_state::failed));
     runs = take_starts();
     ASSERT_EQ(runs.size(), 1U);
-    pass(milliseconds{100});
+    advance_time(milliseconds{100});
     report(report_of(runs[0], run_state::done));
     ASSERT_TRUE(reply_to(token));
     EXPECT_TRUE(inputs_of("job ended").empty());
@@ -339,7 +340,7 @@
 TEST_F(entry_core_test, logs_a_summary_of_a_refused_job) {
     prepare();
     submit(job("a", false));
-    pass(milliseconds{570});
+    advance_time(milliseconds{570});
     auto inputs = inputs_of("refused a job that found no room");
     EXPECT_EQ(inputs["reason"], decision::value{std::string{"cannot end in time"}});
     EXPECT_EQ(inputs["total_us"], decision::value{std::int64_t{570000}});
@@ -400,12 +401,12 @@
     connect_agent();
     const caller_token token = submit(job("a", true));
     for (int i = 0; i < 40; ++i) {
-        const std::vector<store_request> calls = std::exchange(calls_, {});
+        const std::vector<store_request> calls = std::exchange(store_requests_, {});
         for (const store_request& request : calls) {
             entry_.store_replied(request.id, store_failure{"no answer", true}, now_, wall_);
             collect();
         }
-        pass(milliseconds{60});
+        advance_time(milliseconds{60});
     }
     ASSERT_TRUE(reply_to(token));
     EXPECT_EQ(reply_to(token)->kind, caller_reply_kind::uncertain);
@@ -418,12 +419,12 @@
     connect_agent();
     const caller_token token = submit(job("a", true));
     for (int i = 0; i < 20 && !reply_to(token); ++i) {
-        const std::vector<store_request> calls = std::exchange(calls_, {});
+        const std::vector<store_request> calls = std::exchange(store_requests_, {});
         for (const store_request& request : calls) {
             entry_.store_replied(request.id, store_failure{"refused", false}, now_, wall_);
             collect();
         }
-        pass(milliseconds{50});
+        advance_time(milliseconds{50});
     }
     ASSERT_TRUE(reply_to(token));
     EXPECT_EQ(reply_to(token)->kind, caller_reply_kind::refused);
@@ -468,7 +469,7 @@
     done.backend_life = 1000;
     done.awaits_record = true;
     report(done);
-    pass(milliseconds{1100});
+    advance_time(milliseconds{1100});
     serve_store();
     EXPECT_EQ(take_messages<recorded_run_ends>().size(), 1U);
     const auto* record = std::get_if<open_job>(&store_.items().at(open_key(entry_.session(), "a")).value);
@@ -485,11 +486,11 @@
     submit(job("a", false, 1));
     EXPECT_EQ(take_starts().size(), 1U);
     entry_.received(agent_link, run_inventory{process_, {}, 0}, now_, wall_);
-    pass(milliseconds{30});
+    advance_time(milliseconds{30});
     EXPECT_TRUE(take_starts().empty());
     // An inventory sent after the order arrived shows that the run never started.
     entry_.received(agent_link, run_inventory{process_, {}, 1}, now_, wall_);
-    pass(milliseconds{30});
+    advance_time(milliseconds{30});
     EXPECT_EQ(take_starts().size(), 1U);
 }
 
@@ -514,7 +515,7 @@
     entry_.received(link, profile, now_, wall_);
     entry_.received(link, run_inventory{{}, {report_of(runs[0], run_state::running)}, 0}, now_, wall_);
     entry_.received(link, run_inventory{process_, {}, 0}, now_, wall_);
-    pass(milliseconds{30});
+    advance_time(milliseconds{30});
     EXPECT_EQ(take_messages<run_claim>(link).size(), 1U);
     EXPECT_TRUE(take_starts(link).empty());
     report(report_of(runs[0], run_state::done), link);
@@ -527,9 +528,9 @@
     prepare();
     connect_agent();
     store_.put(job_key("open"), job_status{});
-    job_status over;
-    over.state = job_state::completed;
-    store_.put(job_key("over"), over);
+    job_status completed_status;
+    completed_status.state = job_state::completed;
+    store_.put(job_key("over"), completed_status);
     run_inventory orphans;
     std::uint64_t number = 0;
     for (const char* id : {"open", "over", "unknown"}) {
@@ -558,19 +559,19 @@
     EXPECT_EQ(take_starts().size(), 1U);
     entry_.link_closed(agent_link);
     connect_agent(12, "other");
-    const milliseconds bound = call_lease + entry_limits{}.run_lease_bound();
-    pass(bound - milliseconds{50});
+    const milliseconds bound = contact_lease + entry_limits{}.run_lease_bound();
+    advance_time(bound - milliseconds{50});
     EXPECT_TRUE(take_starts(12).empty());
-    pass(milliseconds{100});
+    advance_time(milliseconds{100});
     EXPECT_EQ(take_starts(12).size(), 1U);
 }
 
 // Guards against starting a task of an adopted job while an agent may still run it: every recorded agent must
 // first send its inventory for the previous session.
 TEST_F(entry_core_test, starts_an_adopted_job_after_every_recorded_agent_replies) {
-    const incarnation former{"entry", 50};
+    const incarnation previous_session{"entry", 50};
     entry_record record = self();
-    record.session = former;
+    record.session = previous_session;
     store_.put(entry_key("entry"), record);
     open_job open;
     open.queue = "queue";
@@ -581,7 +582,7 @@
     step.task_needs = {task_millicores, 64, 0};
     step.estimate_ms = 100;
     open.plan.steps.push_back(step);
-    store_.put(open_key(former, "a"), open);
+    store_.put(open_key(previous_session, "a"), open);
     store_.put(job_key("a"), job_status{});
     store_.put(agent_key("agent"), agent_record{"agent", "zone"});
     store_.put(agent_key("other"), agent_record{"other", "zone"});
@@ -590,12 +591,12 @@
     EXPECT_EQ(take_messages<owner_succession>().size(), 1U);
     connect_agent(12, "other");
     run_report running = report_of({{"a", 0, 0, 1}, 1}, run_state::running);
-    entry_.received(agent_link, run_inventory{former, {running}, 0}, now_, wall_);
-    pass(milliseconds{30});
+    entry_.received(agent_link, run_inventory{previous_session, {running}, 0}, now_, wall_);
+    advance_time(milliseconds{30});
     EXPECT_TRUE(take_starts().empty());
     EXPECT_TRUE(take_starts(12).empty());
-    entry_.received(12, run_inventory{former, {}, 0}, now_, wall_);
-    pass(milliseconds{30});
+    entry_.received(12, run_inventory{previous_session, {}, 0}, now_, wall_);
+    advance_time(milliseconds{30});
     std::vector<run_ref> starts = take_starts();
     const std::vector<run_ref> more = take_starts(12);
     starts.insert(starts.end(), more.begin(), more.end());
@@ -608,7 +609,7 @@
 // of that session. Store calls that read these jobs or accept the job stay open until a test answers them.
 class adoption_test : public entry_core_test {
 protected:
-    const incarnation former_{"entry", 50};
+    const incarnation previous_session_{"entry", 50};
 
     bool is_acceptance(const store_call& call) const {
         const auto* write = std::get_if<store_write>(&call);
@@ -619,21 +620,21 @@
 
     bool is_held(const store_call& call) const {
         const auto* list = std::get_if<store_list>(&call);
-        return is_acceptance(call) || (list != nullptr && list->prefix == open_prefix(former_));
+        return is_acceptance(call) || (list != nullptr && list->prefix == open_prefix(previous_session_));
     }
 
-    caller_token hand_in_again() {
+    caller_token submit_during_adoption() {
         entry_record record = self();
-        record.session = former_;
+        record.session = previous_session_;
         store_.put(entry_key("entry"), record);
         open_job open;
         open.queue = "queue";
         open.service = "service";
         open.max_attempts = 2;
         open.plan = job("a", true, 1).plan;
-        store_.put(open_key(former_, "a"), open);
+        store_.put(open_key(previous_session_, "a"), open);
         job_status status;
-        status.owner = former_;
+        status.owner = previous_session_;
         store_.put(job_key("a"), status);
         prepare([this](const store_call& call) { return is_held(call); });
         const caller_token token = submit(job("a", true, 1));
@@ -649,7 +650,7 @@
 // skipped the job because its acceptance was in flight, and the acceptance then dropped the job because it
 // found the record of the previous session.
 TEST_F(adoption_test, keeps_a_job_resubmitted_during_adoption) {
-    const caller_token token = hand_in_again();
+    const caller_token token = submit_during_adoption();
     serve_store();
     ASSERT_TRUE(reply_to(token));
     EXPECT_EQ(reply_to(token)->kind, caller_reply_kind::accepted);
@@ -659,15 +660,15 @@
 // Guards against refusing a job that a previous session has accepted, when the store refuses the new
 // acceptance.
 TEST_F(adoption_test, does_not_refuse_an_adopted_job) {
-    const caller_token token = hand_in_again();
+    const caller_token token = submit_during_adoption();
     for (int i = 0; i < 20 && !reply_to(token); ++i) {
-        for (const store_request& request : std::exchange(calls_, {})) {
+        for (const store_request& request : std::exchange(store_requests_, {})) {
             if (is_acceptance(request.call))
                 entry_.store_replied(request.id, store_failure{"refused", false}, now_, wall_);
             else
-                calls_.push_back(request);
+                store_requests_.push_back(request);
         }
-        pass(milliseconds{50});
+        advance_time(milliseconds{50});
     }
     ASSERT_TRUE(reply_to(token));
     EXPECT_EQ(reply_to(token)->kind, caller_reply_kind::accepted);
@@ -682,27 +683,27 @@
     entry_record record = self();
     record.session = second;
     store_.put(entry_key("entry"), record);
-    store_.put(adopted_key(former_), session_adoption{former_, second, 1});
+    store_.put(adopted_key(previous_session_), session_adoption{previous_session_, second, 1});
     store_.put(agent_key("agent"), agent_record{"zone"});
     open_job open;
     open.queue = "queue";
     open.service = "service";
     open.max_attempts = 2;
     open.plan = job("a", true, 1).plan;
-    store_.put(open_key(former_, "a"), open);
+    store_.put(open_key(previous_session_, "a"), open);
     prepare();
     connect_agent();
     ASSERT_EQ(entry_.open_jobs(), 1U);
-    entry_.received(agent_link, run_inventory{former_, {}, 0}, now_, wall_);
-    pass(milliseconds{1});
+    entry_.received(agent_link, run_inventory{previous_session_, {}, 0}, now_, wall_);
+    advance_time(milliseconds{1});
     EXPECT_TRUE(take_starts().empty());
     const run_ref run{{"a", 0, 0, 0}, 1000001};
     entry_.received(agent_link, run_inventory{second, {report_of(run, run_state::running)}, 0}, now_, wall_);
-    pass(milliseconds{1});
+    advance_time(milliseconds{1});
     EXPECT_TRUE(take_starts().empty());
     run_report lapsed = report_of(run, run_state::lapsed);
     report(lapsed);
-    pass(milliseconds{1});
+    advance_time(milliseconds{1});
     EXPECT_EQ(take_starts().size(), 1U);
 }
 
@@ -714,18 +715,18 @@
     const time_point refuse_at = now_ + milliseconds{2000};
     entry_.begin_shutdown(refuse_at, now_ + milliseconds{3000}, now_);
     EXPECT_FALSE(entry_.is_ready());
-    pass(milliseconds{100});
+    advance_time(milliseconds{100});
     serve_store();
     EXPECT_FALSE(entry_.has_left());
     const caller_token early = submit(job("a", false, 1));
     EXPECT_EQ(take_starts().size(), 1U);
-    pass(milliseconds{1950});
+    advance_time(milliseconds{1950});
     const caller_token late = submit(job("b", true, 1));
     ASSERT_TRUE(reply_to(late));
     EXPECT_EQ(reply_to(late)->reason, submit_refusal::shutting_down);
     submit(job("c", false, 1));
     EXPECT_EQ(take_starts().size(), 1U);
-    pass(milliseconds{1000});
+    advance_time(milliseconds{1000});
     const caller_token last = submit(job("d", false, 1));
     ASSERT_TRUE(reply_to(last));
     EXPECT_EQ(reply_to(last)->reason, submit_refusal::shutting_down);
@@ -733,7 +734,7 @@
     collect();
     ASSERT_TRUE(reply_to(early));
     EXPECT_EQ(reply_to(early)->kind, caller_reply_kind::uncertain);
-    pass(milliseconds{10});
+    advance_time(milliseconds{10});
     serve_store();
     EXPECT_TRUE(entry_.has_left());
 }
@@ -751,7 +752,7 @@
     ASSERT_TRUE(reply_to(pending));
     EXPECT_EQ(reply_to(pending)->kind, caller_reply_kind::uncertain);
     EXPECT_EQ(entry_.open_jobs(), 0U);
-    pass(milliseconds{200});
+    advance_time(milliseconds{200});
     serve_store();
     EXPECT_GT(entry_.session().number, 101U);
 }
--- a/tests/job_world.h
+++ b/tests/job_simulation.h
@@ -21,18 +21,18 @@
 // deposed, agents that restart, connections that are cut and deliver late, backend servers that lose results.
 // The simulation itself moves the ownership of partitions and keeps the guarantee of the grants: at most one
 // owner may act at any time. The seed determines the whole history.
-class job_world {
+class job_simulation {
 public:
     struct options {
         std::uint64_t seed = 1;
         std::size_t jobs = 6;
         // Each switch breaks one rule on purpose, to show that the checks detect it.
-        bool skip_query = false;
-        bool keep_old_epochs = false;
-        bool refuse_without_lease = false;
+        bool skips_query = false;
+        bool keeps_old_epochs = false;
+        bool refuses_without_lease = false;
     };
 
-    explicit job_world(const options& chosen)
+    explicit job_simulation(const options& chosen)
         : options_{chosen}
         , random_{chosen.seed} {
         for (int i = 0; i < agent_count; ++i)
@@ -40,15 +40,15 @@
         owners_.push_back(make_owner());
         owners_.push_back(make_owner());
         current_ = 0;
-        gain(0, true);
+        take_ownership(0, true);
     }
 
     // Runs the history and returns the violated guarantees; empty if all held.
     const std::vector<std::string>& run() {
         for (std::size_t i = 0; i < options_.jobs; ++i)
-            at(pick(2000), [this, i] { submit_new(i); });
-        for (std::uint64_t i = 0, faults = pick(10); i < faults; ++i)
-            at(pick(3000), [this] { random_fault(); });
+            at(random_below(2000), [this, i] { submit_new(i); });
+        for (std::uint64_t i = 0, faults = random_below(10); i < faults; ++i)
+            at(random_below(3000), [this] { random_fault(); });
         for (int ms = 50; ms < 130000; ms += ms < 15000 ? 50 : 1000)
             at(ms, [this] { tick(); });
         while (!events_.empty() && violations_.empty()) {
@@ -59,7 +59,7 @@
         }
         for (const auto& [token, caller] : callers_) {
             if (violations_.empty() && !caller.answered)
-                violate("caller of " + caller.job + " got no answer");
+                add_violation("caller of " + caller.job + " got no answer");
         }
         return violations_;
     }
@@ -91,7 +91,7 @@
         incarnation id;
         std::unique_ptr<job_table> jobs;
         std::deque<queue_request> queue;
-        bool alive = true;
+        bool is_alive = true;
         epoch_number epoch = 0;
     };
     struct agent {
@@ -100,7 +100,7 @@
         epoch_number known_epoch = 0;
     };
     struct link {
-        bool up = true;
+        bool is_up = true;
         // Incremented at each cut. A message sent in an earlier generation is lost, or arrives late and out
         // of order.
         std::uint64_t generation = 0;
@@ -123,17 +123,17 @@
         bool lost = false;
     };
 
-    std::uint64_t pick(std::uint64_t bound) { return random_() % bound; }
-    bool chance(unsigned percent) { return pick(100) < percent; }
-    void note(const std::string& text) {
+    std::uint64_t random_below(std::uint64_t bound) { return random_() % bound; }
+    bool chance(unsigned percent) { return random_below(100) < percent; }
+    void log_event(const std::string& text) {
         log_.push_back(std::to_string(now_.time_since_epoch().count() / 1000000) + " ms  " + text);
     }
-    void violate(const std::string& text) {
-        note("VIOLATION " + text);
+    void add_violation(const std::string& text) {
+        log_event("VIOLATION " + text);
         violations_.push_back(text);
     }
     void at(std::uint64_t delay_ms, std::function<void()> action) {
-        events_.push({now_ + std::chrono::milliseconds{delay_ms}, order_++, std::move(action)});
+        events_.push({now_ + std::chrono::milliseconds{delay_ms}, next_event_order_++, std::move(action)});
     }
     wall_time wall() const { return wall_time{std::chrono::hours{400000}} + (now_ - time_point{}); }
 
@@ -155,19 +155,19 @@
         started.tasks->set_recorded(now_);
         started.tasks->announced({service, "url", 2, 8, false}, now_);
         recorded_.insert(started.id);
-        teach_epochs(started, epoch_);
+        send_owner_table(started, epoch_);
     }
 
-    void teach_epochs(agent& taught, epoch_number epoch) {
-        if (options_.keep_old_epochs || epoch == 0)
+    void send_owner_table(agent& updated_agent, epoch_number epoch) {
+        if (options_.keeps_old_epochs || epoch == 0)
             return;
         owner_table table;
         table.version = epoch;
         table.partitions.assign(partition_count, partition_owner{{"entry", 1}, epoch});
-        perform_agent(taught, taught.tasks->set_table(table, now_));
+        perform_agent(updated_agent, updated_agent.tasks->set_table(table, now_));
     }
 
-    void gain(std::size_t index, bool first) {
+    void take_ownership(std::size_t index, bool first) {
         ++epoch_;
         owner& next = *owners_[index];
         next.epoch = epoch_;
@@ -175,14 +175,15 @@
             partition_gain gained;
             gained.partition = p;
             gained.epoch = epoch_;
-            gained.is_first_epoch = first || options_.skip_query;
+            gained.is_first_epoch = first || options_.skips_query;
             gained.suspects = {recorded_.begin(), recorded_.end()};
             perform(index, next.jobs->apply(gained, now_, wall()));
         }
-        note(next.id.name + " owns all partitions in epoch " + std::to_string(epoch_));
-        for (auto& [i, taught] : agents_) {
+        log_event(next.id.name + " owns all partitions in epoch " + std::to_string(epoch_));
+        for (auto& [i, updated_agent] : agents_) {
             if (chance(50))
-                at(pick(3000), [this, index = i, epoch = epoch_] { teach_epochs(agents_[index], epoch); });
+                at(random_below(3000),
+                   [this, index = i, epoch = epoch_] { send_owner_table(agents_[index], epoch); });
         }
         for (const incarnation& suspect : recorded_) {
             bool running = false;
@@ -194,23 +195,23 @@
     }
 
     void random_fault() {
-        switch (pick(8)) {
+        switch (random_below(8)) {
         case 0:
             take_over(chance(50));
             break;
         case 1:
             if (chance(50))
-                restart_agent(static_cast<int>(pick(agent_count)));
+                restart_agent(static_cast<int>(random_below(agent_count)));
             else
-                stop_agent(static_cast<int>(pick(agent_count)));
+                stop_agent(static_cast<int>(random_below(agent_count)));
             break;
         case 2:
-            cut(pick(owners_.size()), static_cast<int>(pick(agent_count)));
+            cut(random_below(owners_.size()), static_cast<int>(random_below(agent_count)));
             break;
         case 3:
         case 4:
         case 5:
-            cut(current_, static_cast<int>(pick(agent_count)));
+            cut(current_, static_cast<int>(random_below(agent_count)));
             break;
         case 6:
             cancel_some_job();
@@ -223,28 +224,28 @@
 
     void take_over(bool old_dies) {
         const std::size_t old = current_;
-        note(owners_[old]->id.name + (old_dies ? " crashes" : " is deposed"));
+        log_event(owners_[old]->id.name + (old_dies ? " crashes" : " is deposed"));
         owners_.push_back(make_owner());
         current_ = owners_.size() - 1;
-        gain(current_, false);
+        take_ownership(current_, false);
         if (old_dies)
-            owners_[old]->alive = false;
+            owners_[old]->is_alive = false;
         else
-            at(pick(3000), [this, old, next = current_] {
+            at(random_below(3000), [this, old, next = current_] {
                 for (partition_id p = 0; p < partition_count; ++p)
-                    lose(old, next, p);
+                    release_partition(old, next, p);
             });
         // Entries resend the waiting requests of their callers to the new owner.
         for (const auto& [token, waiting] : callers_) {
             if (!waiting.answered)
-                at(pick(500), [this, token = token] { resubmit(token); });
+                at(random_below(500), [this, token = token] { resubmit(token); });
         }
     }
 
     // A planned stop: the agent drains, sends every owner the jobs that it knows, and restarts as a new
     // incarnation.
     void stop_agent(int index) {
-        note(agents_[index].id.name + " begins a planned stop");
+        log_event(agents_[index].id.name + " begins a planned stop");
         perform_agent(agents_[index], agents_[index].tasks->drain(now_));
         finish_stop(index, agents_[index].id);
     }
@@ -260,19 +261,19 @@
         const agent_departure parting{stopping, draining.tasks->known_jobs()};
         for (std::size_t o = 0; o < owners_.size(); ++o)
             deliver(o, index, [this, o, parting] {
-                if (owners_[o]->alive)
+                if (owners_[o]->is_alive)
                     perform(o, owners_[o]->jobs->apply(parting, now_, wall()));
             });
         restart_agent(index);
     }
 
-    void lose(std::size_t old, std::size_t next, partition_id partition) {
+    void release_partition(std::size_t old, std::size_t next, partition_id partition) {
         const job_actions actions = owners_[old]->jobs->apply(partition_loss{partition}, now_, wall());
         perform(old, actions);
         for (const partition_handover& handover : actions.handovers) {
             if (chance(80))
-                at(pick(50), [this, next, handover] {
-                    if (owners_[next]->alive)
+                at(random_below(50), [this, next, handover] {
+                    if (owners_[next]->is_alive)
                         perform(next, owners_[next]->jobs->apply(handover, now_, wall()));
                 });
         }
@@ -281,26 +282,26 @@
     void restart_agent(int index) {
         agent& restarted = agents_[index];
         const incarnation old = restarted.id;
-        note(old.name + " restarts");
+        log_event(old.name + " restarts");
         start_agent(index);
         for (std::size_t o = 0; o < owners_.size(); ++o) {
             links_[{o, index}] = {};
-            at(pick(2000), [this, o, old] {
-                if (owners_[o]->alive)
+            at(random_below(2000), [this, o, old] {
+                if (owners_[o]->is_alive)
                     perform(o, owners_[o]->jobs->apply(agent_presence{old, true, 1}, now_, wall()));
             });
         }
     }
 
     void cut(std::size_t owner_index, int agent_index) {
-        link& broken = links_[{owner_index, agent_index}];
-        note("connection between " + owners_[owner_index]->id.name + " and agent-" +
-             std::to_string(agent_index) + " is cut");
-        broken.up = false;
-        ++broken.generation;
-        at(pick(1500), [this, owner_index, agent_index] {
-            links_[{owner_index, agent_index}].up = true;
-            if (owners_[owner_index]->alive)
+        link& cut_link = links_[{owner_index, agent_index}];
+        log_event("connection between " + owners_[owner_index]->id.name + " and agent-" +
+                  std::to_string(agent_index) + " is cut");
+        cut_link.is_up = false;
+        ++cut_link.generation;
+        at(random_below(1500), [this, owner_index, agent_index] {
+            links_[{owner_index, agent_index}].is_up = true;
+            if (owners_[owner_index]->is_alive)
                 perform(owner_index, owners_[owner_index]->jobs->apply(
                                          agent_presence{agents_[agent_index].id, false, 1}, now_, wall()));
         });
@@ -310,10 +311,10 @@
 
     void submit_new(std::size_t index) {
         const job_id job = name_of(index);
-        facts_[job].tasks = 1 + pick(4);
+        facts_[job].tasks = 1 + random_below(4);
         submit(job);
-        for (std::uint64_t i = 0, again = pick(3); i < again; ++i)
-            at(pick(6000), [this, job] { submit(job); });
+        for (std::uint64_t i = 0, again = random_below(3); i < again; ++i)
+            at(random_below(6000), [this, job] { submit(job); });
     }
 
     void submit(const job_id& job) {
@@ -323,34 +324,34 @@
     }
 
     void resubmit(caller_token token) {
-        caller& asking = callers_[token];
-        if (asking.answered)
+        caller& waiting_caller = callers_[token];
+        if (waiting_caller.answered)
             return;
         submission request;
-        request.job = asking.job;
+        request.job = waiting_caller.job;
         auto spec = std::make_shared<job_spec>();
         spec->service = service;
-        spec->digest = asking.job;
-        for (std::size_t i = 0; i < asking.tasks; ++i)
-            spec->tasks.push_back(text_of(asking.job, i));
+        spec->digest = waiting_caller.job;
+        for (std::size_t i = 0; i < waiting_caller.tasks; ++i)
+            spec->tasks.push_back(text_of(waiting_caller.job, i));
         request.spec = spec;
         request.token = token;
-        asking.sent_to = current_;
-        facts_[asking.job].last_submitted = order_++;
-        note("submit " + asking.job + " to " + owners_[current_]->id.name);
+        waiting_caller.sent_to = current_;
+        facts_[waiting_caller.job].last_submitted = next_event_order_++;
+        log_event("submit " + waiting_caller.job + " to " + owners_[current_]->id.name);
         perform(current_, owners_[current_]->jobs->apply(request, now_, wall()));
     }
 
     void resubmit_some_job() {
         if (!facts_.empty())
-            submit(std::next(facts_.begin(), static_cast<long>(pick(facts_.size())))->first);
+            submit(std::next(facts_.begin(), static_cast<long>(random_below(facts_.size())))->first);
     }
 
     void cancel_some_job() {
         if (facts_.empty())
             return;
-        const job_id job = std::next(facts_.begin(), static_cast<long>(pick(facts_.size())))->first;
-        note("cancel " + job);
+        const job_id job = std::next(facts_.begin(), static_cast<long>(random_below(facts_.size())))->first;
+        log_event("cancel " + job);
         perform(current_, owners_[current_]->jobs->apply(forward_lookup{0, job, true}, now_, wall()));
     }
 
@@ -360,7 +361,7 @@
             perform_agent(ticking, ticking.tasks->tick(now_));
         }
         for (std::size_t o = 0; o < owners_.size(); ++o) {
-            if (owners_[o]->alive)
+            if (owners_[o]->is_alive)
                 perform(o, owners_[o]->jobs->apply(clock_tick{}, now_, wall()));
         }
         dispatch_waiting();
@@ -374,7 +375,7 @@
             for (const task_index task : request.tasks) {
                 assignment chosen;
                 chosen.job = request.job;
-                chosen.agent = agents_[static_cast<int>(pick(agent_count))].id;
+                chosen.agent = agents_[static_cast<int>(random_below(agent_count))].id;
                 chosen.tasks = {task};
                 chosen.revision = 1;
                 perform(current_, acting.jobs->apply(chosen, now_, wall()));
@@ -400,7 +401,7 @@
         if (chance(15)) {
             job_failed refusal;
             refusal.reason = failure_reason::not_run;
-            const bool has_lease = owner_index == current_ || options_.refuse_without_lease;
+            const bool has_lease = owner_index == current_ || options_.refuses_without_lease;
             const auto result = has_lease ? admission_result::refused : admission_result::abandoned;
             perform(owner_index,
                     acting.jobs->apply(admission_decision{request.job, result, refusal}, now_, wall()));
@@ -449,7 +450,7 @@
         const int agent_index = from.id.name.back() - '0';
         deliver(owner_index, agent_index, [this, owner_index, message] {
             owner& receiver = *owners_[owner_index];
-            if (!receiver.alive)
+            if (!receiver.is_alive)
                 return;
             if (const auto* reports = std::get_if<task_reports>(&message))
                 perform(owner_index, receiver.jobs->apply(*reports, now_, wall()));
@@ -462,19 +463,20 @@
     // arrives late.
     void deliver(std::size_t owner_index, int agent_index, std::function<void()> action) {
         link& used = links_[{owner_index, agent_index}];
-        if (!used.up)
+        if (!used.is_up)
             return;
-        const time_point arrival =
-            std::max(used.last_arrival, now_ + std::chrono::milliseconds{1 + pick(chance(5) ? 400 : 10)});
+        const time_point arrival = std::max(
+            used.last_arrival, now_ + std::chrono::milliseconds{1 + random_below(chance(5) ? 400 : 10)});
         used.last_arrival = arrival;
         const std::uint64_t generation = used.generation;
         const bool survives_cut = chance(50);
-        events_.push({arrival, order_++, [this, owner_index, agent_index, generation, survives_cut, action] {
+        events_.push({arrival, next_event_order_++,
+                      [this, owner_index, agent_index, generation, survives_cut, action] {
                           const link& present = links_[{owner_index, agent_index}];
                           if (present.generation == generation)
                               action();
                           else if (survives_cut)
-                              at(pick(2500), action);
+                              at(random_below(2500), action);
                       }});
     }
 
@@ -484,7 +486,7 @@
 
     void start_task(agent& acting, const backend_call& call) {
         backend_result result{backend_result_kind::answered, call.body};
-        const std::uint64_t kind = pick(100);
+        const std::uint64_t kind = random_below(100);
         if (kind < 4)
             result = {backend_result_kind::error, "error"};
         else if (kind < 8) {
@@ -495,7 +497,7 @@
         if (result.kind != backend_result_kind::declined)
             note_start(acting, call);
         const incarnation id = acting.id;
-        at(1 + pick(300), [this, id, call, result] {
+        at(1 + random_below(300), [this, id, call, result] {
             agent& ended = agents_[id.name.back() - '0'];
             if (ended.id == id)
                 perform_agent(ended, ended.tasks->answered(call.job, call.index, result, now_));
@@ -503,12 +505,12 @@
     }
 
     void note_start(const agent& acting, const backend_call& call) {
-        note("start " + call.job + "/" + std::to_string(call.index) + " on " + acting.id.name);
+        log_event("start " + call.job + "/" + std::to_string(call.index) + " on " + acting.id.name);
         if (!starts_.insert({call.job, call.index}).second)
-            violate("task " + call.job + "/" + std::to_string(call.index) + " started twice");
+            add_violation("task " + call.job + "/" + std::to_string(call.index) + " started twice");
         const job_facts& facts = facts_[call.job];
         if (facts.not_run && facts.last_submitted <= *facts.not_run)
-            violate("a task of " + call.job + " started after the job was refused as not_run");
+            add_violation("a task of " + call.job + " started after the job was refused as not_run");
     }
 
     void answered(std::size_t owner_index, const caller_answer& answer) {
@@ -517,7 +519,7 @@
             return;
         const auto* outcome = std::get_if<job_outcome>(&answer.reply);
         if (outcome == nullptr) {
-            note("wrong owner " + owners_[owner_index]->id.name + " for " + answer.job);
+            log_event("wrong owner " + owners_[owner_index]->id.name + " for " + answer.job);
             at(100, [this, token = answer.token] { resubmit(token); });
             return;
         }
@@ -528,38 +530,38 @@
     void check_outcome(const job_id& job, const job_outcome& outcome) {
         job_facts& facts = facts_[job];
         if (const auto* complete = std::get_if<job_complete>(&outcome)) {
-            note("answer " + job + " complete");
+            log_event("answer " + job + " complete");
             ++complete_answers_;
             facts.complete = true;
             for (std::size_t i = 0; i < facts.tasks; ++i) {
                 if (complete->answers.size() != facts.tasks || complete->answers[i] != text_of(job, i))
-                    violate("wrong answer for " + job);
+                    add_violation("wrong answer for " + job);
             }
         } else {
             const auto& failed = std::get<job_failed>(outcome);
-            note("answer " + job + " " + std::string{to_string(failed.reason)} + " " + failed.detail);
+            log_event("answer " + job + " " + std::string{to_string(failed.reason)} + " " + failed.detail);
             facts.task_failed = facts.task_failed || failed.reason == failure_reason::task_failed;
             // Faults last a few seconds and tasks at most 300 ms, so a job that reaches its deadline of 60 s
             // was lost by its owners.
             if (failed.reason == failure_reason::deadline_exceeded)
-                violate(job + " reached its deadline without an outcome");
+                add_violation(job + " reached its deadline without an outcome");
             if (failed.reason == failure_reason::outcome_unknown && !facts.lost &&
                 incarnations_ == agent_count)
-                violate(job + " has an unknown outcome without a lost result or agent");
+                add_violation(job + " has an unknown outcome without a lost result or agent");
             if (failed.reason == failure_reason::not_run) {
-                facts.not_run = order_++;
+                facts.not_run = next_event_order_++;
                 if (starts_.lower_bound({job, 0}) != starts_.upper_bound({job, max_tasks_per_job}))
-                    violate("not_run answered for " + job + " although a task had started");
+                    add_violation("not_run answered for " + job + " although a task had started");
             }
         }
         if (facts.complete && facts.task_failed)
-            violate(job + " was answered as complete and as failed");
+            add_violation(job + " was answered as complete and as failed");
     }
 
     options options_;
     std::mt19937_64 random_;
     time_point now_{std::chrono::seconds{1000}};
-    std::uint64_t order_ = 0;
+    std::uint64_t next_event_order_ = 0;
     std::priority_queue<event> events_;
     std::vector<std::unique_ptr<owner>> owners_;
     std::size_t current_ = 0;
--- a/tests/job_world_test.cpp
+++ b/tests/job_simulation_test.cpp
@@ -1,4 +1,4 @@
-#include "tests/job_world.h"
+#include "tests/job_simulation.h"
 
 #include <cstdlib>
 
@@ -11,28 +11,28 @@
 
 // Reads a number from the environment. PERSIMMONSTILE_HISTORIES sets how many histories run, and
 // PERSIMMONSTILE_SEED runs the single history of that seed.
-std::uint64_t from_environment(const char* name, std::uint64_t otherwise) {
+std::uint64_t environment_number(const char* name, std::uint64_t default_value) {
     const char* value = std::getenv(name);
-    return value == nullptr ? otherwise : std::strtoull(value, nullptr, 10);
+    return value == nullptr ? default_value : std::strtoull(value, nullptr, 10);
 }
 
 // Guards against combinations of failures, also two or three at once, that start a task twice, mix up or lose
 // an answer, or make a refusal false.
-TEST(job_world, guarantees_hold_under_random_failures) {
-    const std::uint64_t first = from_environment("PERSIMMONSTILE_SEED", 1);
+TEST(job_simulation, guarantees_hold_under_random_failures) {
+    const std::uint64_t first = environment_number("PERSIMMONSTILE_SEED", 1);
     const bool single = std::getenv("PERSIMMONSTILE_SEED") != nullptr;
-    const std::uint64_t count = single ? 1 : from_environment("PERSIMMONSTILE_HISTORIES", ci_histories);
+    const std::uint64_t count = single ? 1 : environment_number("PERSIMMONSTILE_HISTORIES", ci_histories);
     std::size_t starts = 0;
     std::size_t complete = 0;
     std::size_t takeovers = 0;
     for (std::uint64_t seed = first; seed < first + count; ++seed) {
-        job_world::options chosen;
+        job_simulation::options chosen;
         chosen.seed = seed;
-        job_world world{chosen};
-        ASSERT_TRUE(world.run().empty()) << world.history();
-        starts += world.starts();
-        complete += world.complete_answers();
-        takeovers += world.takeovers();
+        job_simulation simulation{chosen};
+        ASSERT_TRUE(simulation.run().empty()) << simulation.history();
+        starts += simulation.starts();
+        complete += simulation.complete_answers();
+        takeovers += simulation.takeovers();
     }
     // The histories must start and complete jobs, or the checks above would pass without testing anything.
     EXPECT_GT(starts, count);
@@ -41,10 +41,10 @@
 }
 
 // Returns true if a history of one of the first seeds violates a guarantee.
-bool finds_violation(job_world::options chosen, std::uint64_t histories) {
+bool finds_violation(job_simulation::options chosen, std::uint64_t histories) {
     for (chosen.seed = 1; chosen.seed <= histories; ++chosen.seed) {
-        job_world world{chosen};
-        if (!world.run().empty())
+        job_simulation simulation{chosen};
+        if (!simulation.run().empty())
             return true;
     }
     return false;
@@ -52,9 +52,9 @@
 
 // Guards against checks that cannot fail: when the new owner sends no query after a takeover, a task starts
 // twice.
-TEST(job_world, detects_a_missing_query) {
-    job_world::options broken;
-    broken.skip_query = true;
+TEST(job_simulation, detects_a_missing_query) {
+    job_simulation::options broken;
+    broken.skips_query = true;
     EXPECT_TRUE(finds_violation(broken, 200));
 }
 
--- a/tests/late_job_patience_test.cpp
+++ b/tests/late_job_patience_test.cpp
@@ -15,9 +15,9 @@
 
     // Makes a plan every 10 ms that finds no free capacity for late jobs and starts this many runs of other
     // jobs.
-    void pass_over(milliseconds time, std::size_t others_begun) {
+    void pass_over(milliseconds time, std::size_t other_starts) {
         for (const time_point end = now_ + time; now_ < end; now_ += 10ms)
-            patience_.passed_over(others_begun, now_);
+            patience_.passed_over(other_starts, now_);
     }
 };
 
--- a/tests/load_world.h
+++ b/tests/load_simulation.h
@@ -43,7 +43,7 @@
     milliseconds refusal_time{0};
     std::size_t refused_in_time = 0;
 
-    double in_time_part() const {
+    double in_time_fraction() const {
         return jobs == 0 ? 1 : static_cast<double>(in_time) / static_cast<double>(jobs);
     }
 };
@@ -51,7 +51,7 @@
 // Runs a load against the decision logic of entries and agents in simulated time and without a network.
 // Messages have a network delay, and every process handles them one at a time at its own speed. Jobs are not
 // durable: they end with their callers' calls. The options, which include the seed, determine the whole load.
-class load_world {
+class load_simulation {
 public:
     struct options {
         std::uint64_t seed = 1;
@@ -61,7 +61,7 @@
         std::vector<std::int64_t> millicores{32000, 32000, 48000};
         std::vector<double> speeds{0.7, 0.7, 1.7};
         std::vector<load_class> classes;
-        milliseconds length{8000};
+        milliseconds duration{8000};
         // Factor on the arrival rates between burst_begin and burst_end.
         double burst = 1;
         milliseconds burst_begin{2000};
@@ -70,12 +70,12 @@
         std::chrono::microseconds entry_cost{200};
         std::chrono::microseconds agent_cost{200};
         // Fraction of the orders that get no answer and are executed 2 to 12 s later.
-        double late_orders = 0;
-        agent_limits agent_figures;
-        entry_limits entry_figures;
+        double late_order_fraction = 0;
+        agent_limits agent_settings;
+        entry_limits entry_settings;
     };
 
-    explicit load_world(const options& chosen)
+    explicit load_simulation(const options& chosen)
         : options_{chosen}
         , random_{chosen.seed}
         , traffic_random_{chosen.seed} {
@@ -87,8 +87,8 @@
 
     // Multiplies the processor time of an entry's messages by the factor between these times.
     void slow_down_entry(int index, double factor, milliseconds begin, milliseconds end) {
-        at(time_point{begin}, [this, index, factor] { entries_[index]->pace = factor; });
-        at(time_point{end}, [this, index] { entries_[index]->pace = 1; });
+        at(time_point{begin}, [this, index, factor] { entries_[index]->slowdown = factor; });
+        at(time_point{end}, [this, index] { entries_[index]->slowdown = 1; });
     }
 
     // Tasks of this backend server make no progress between these times.
@@ -103,7 +103,7 @@
         at(time_point{milliseconds{0}}, [this] { tick(); });
         for (const load_class& kind : options_.classes)
             schedule_next(kind, time_point{warm_up});
-        const time_point end{warm_up + options_.length + drain};
+        const time_point end{warm_up + options_.duration + drain};
         while (!events_.empty() && events_.top().when < end) {
             const event next = events_.top();
             events_.pop();
@@ -132,13 +132,15 @@
     }
 
     // Mean fraction of all backend servers' processor capacity in use during the burst.
-    double used_in_burst() const { return samples_ == 0 ? 0 : used_ / static_cast<double>(samples_); }
+    double burst_utilization() const {
+        return samples_ == 0 ? 0 : utilization_sum_ / static_cast<double>(samples_);
+    }
     std::size_t messages() const { return messages_; }
     // Number of runs that an agent refused because its backend server lacked free capacity.
-    std::size_t bounced() const { return bounced_; }
+    std::size_t returned_runs() const { return returned_runs_; }
     // False if the runs of a backend server ever exceeded its capacity.
-    bool is_room_kept() const { return is_room_kept_; }
-    static constexpr milliseconds begin_of_traffic() { return warm_up; }
+    bool is_capacity_respected() const { return is_capacity_respected_; }
+    static constexpr milliseconds traffic_start() { return warm_up; }
 
 private:
     static constexpr milliseconds warm_up{2000};
@@ -148,7 +150,7 @@
     static constexpr double stretch = 1.6;
     static constexpr milliseconds slack{60};
     // A caller waits for three times its objective plus this time.
-    static constexpr milliseconds extra_patience{1500};
+    static constexpr milliseconds extra_caller_timeout{1500};
 
     struct event {
         time_point when;
@@ -162,7 +164,7 @@
     // A simulated process, which handles one event at a time.
     struct process {
         std::string name;
-        double pace = 1;
+        double slowdown = 1;
         time_point busy_until{};
     };
 
@@ -188,9 +190,9 @@
     };
 
     void at(time_point when, std::function<void()> action) {
-        events_.push({when, ++order_, std::move(action)});
+        events_.push({when, ++last_event_order_, std::move(action)});
     }
-    std::int64_t pick(std::int64_t below) {
+    std::int64_t random_below(std::int64_t below) {
         return std::uniform_int_distribution<std::int64_t>{0, std::max<std::int64_t>(0, below - 1)}(random_);
     }
 
@@ -202,7 +204,7 @@
         self.peer_address = node->name;
         self.zone = "zone" + std::to_string(index % 3);
         node->core =
-            std::make_unique<entry_core>(incarnation{node->name, 1}, self, options_.entry_figures, "op/",
+            std::make_unique<entry_core>(incarnation{node->name, 1}, self, options_.entry_settings, "op/",
                                          options_.seed + static_cast<std::uint64_t>(index), [] { return 1; });
         auto config = std::make_shared<deployment_config>();
         config->version = 1;
@@ -233,7 +235,7 @@
         node->millicores = profile.capacity.cpu_millicores;
         node->backend.set_slowness(1 / options_.speeds[kind % options_.speeds.size()]);
         node->core = std::make_unique<agent_core>(incarnation{node->name, 1}, profile.zone,
-                                                  options_.agent_figures, now_);
+                                                  options_.agent_settings, now_);
         agents_.push_back(std::move(node));
         // The entry and the agent of a link can be computed from its number.
         for (int entry = 0; entry < options_.entries; ++entry) {
@@ -260,7 +262,7 @@
     // Runs the action when the process has finished all earlier work and spent this processor time.
     void handle(process& node, std::chrono::microseconds cost, std::function<void()> action) {
         const auto time = std::chrono::microseconds{
-            static_cast<std::int64_t>(static_cast<double>(cost.count()) * node.pace)};
+            static_cast<std::int64_t>(static_cast<double>(cost.count()) * node.slowdown)};
         node.busy_until = std::max(now_, node.busy_until) + time;
         at(node.busy_until, std::move(action));
     }
@@ -277,11 +279,11 @@
                 flush(*agent);
             });
         }
-        sample_use();
+        sample_utilization();
         at(now_ + tick_interval, [this] { tick(); });
     }
 
-    void sample_use() {
+    void sample_utilization() {
         const milliseconds since{std::chrono::duration_cast<milliseconds>(now_.time_since_epoch()) - warm_up};
         if (since < options_.burst_begin || since >= options_.burst_end)
             return;
@@ -291,11 +293,11 @@
             used += agent->used;
             all += agent->millicores;
         }
-        used_ += static_cast<double>(used) / static_cast<double>(all);
+        utilization_sum_ += static_cast<double>(used) / static_cast<double>(all);
         ++samples_;
     }
 
-    std::chrono::microseconds way() { return std::chrono::microseconds{200 + pick(1600)}; }
+    std::chrono::microseconds network_delay() { return std::chrono::microseconds{200 + random_below(1600)}; }
 
     void flush(entry_node& node) {
         entry_output output = node.core->take_output(now_);
@@ -311,7 +313,7 @@
             });
         }
         for (const caller_reply& reply : output.replies)
-            take_reply(entry, reply);
+            record_reply(entry, reply);
     }
 
     void flush(agent_node& node) {
@@ -320,7 +322,7 @@
             if (const auto* reports = std::get_if<run_reports>(&message)) {
                 for (const run_report& report : reports->reports) {
                     if (report.state == run_state::refused && report.reason == run_refusal::no_room)
-                        ++bounced_;
+                        ++returned_runs_;
                 }
             }
             entry_node& entry = *entries_[(link - 1) % static_cast<link_number>(options_.entries)];
@@ -338,15 +340,15 @@
                  std::function<void()> action) {
         ++messages_;
         time_point& last = last_arrival_[{link, to_agent}];
-        last = std::max(last, now_ + way());
+        last = std::max(last, now_ + network_delay());
         at(last, [this, &receiver, cost, action = std::move(action)] { handle(receiver, cost, action); });
     }
 
     void carry_out(agent_node& agent, const backend_order& order) {
-        if (std::uniform_real_distribution<double>{0, 1}(random_) < options_.late_orders) {
-            at(now_ + milliseconds{2000 + pick(10000)}, [this, &agent, order] {
+        if (std::uniform_real_distribution<double>{0, 1}(random_) < options_.late_order_fraction) {
+            at(now_ + milliseconds{2000 + random_below(10000)}, [this, &agent, order] {
                 agent.backend.carry_out(order, now_);
-                watch_room(agent);
+                track_capacity(agent);
             });
             backend_reply missing;
             missing.id = order.id;
@@ -356,9 +358,9 @@
         at(now_ + std::chrono::microseconds{300}, [this, &agent, order] {
             const auto* hold = std::get_if<hold_order>(&order.action);
             const backend_reply reply = agent.backend.carry_out(order, now_);
-            watch_room(agent);
+            track_capacity(agent);
             if (hold != nullptr && hold->wait.count() > 0)
-                wait_for_news(agent, order, now_ + hold->wait);
+                wait_for_update(agent, order, now_ + hold->wait);
             else
                 at(now_ + std::chrono::microseconds{300}, [this, &agent, reply] { answer(agent, reply); });
         });
@@ -371,12 +373,12 @@
         });
     }
 
-    void wait_for_news(agent_node& agent, const backend_order& order, time_point until) {
+    void wait_for_update(agent_node& agent, const backend_order& order, time_point until) {
         agent.backend.advance(now_);
-        watch_room(agent);
+        track_capacity(agent);
         const auto& hold = std::get<hold_order>(order.action);
         if (!agent.backend.has_news(hold.acknowledged_end) && now_ < until) {
-            at(now_ + backend_step, [this, &agent, order, until] { wait_for_news(agent, order, until); });
+            at(now_ + backend_step, [this, &agent, order, until] { wait_for_update(agent, order, until); });
             return;
         }
         backend_order again = order;
@@ -384,7 +386,7 @@
         answer(agent, agent.backend.carry_out(again, now_));
     }
 
-    void watch_room(agent_node& agent) {
+    void track_capacity(agent_node& agent) {
         for (const order_backend::event& happened : agent.backend.take_events()) {
             if (happened.what == order_backend::event::kind::started) {
                 const std::int64_t needs = needs_[happened.run.task.job];
@@ -397,15 +399,15 @@
         }
         // Orders that a backend server executes late can exceed its capacity, and the agent cannot prevent
         // it.
-        if (agent.used > agent.millicores && options_.late_orders == 0)
-            is_room_kept_ = false;
+        if (agent.used > agent.millicores && options_.late_order_fraction == 0)
+            is_capacity_respected_ = false;
     }
 
     // ---- Callers ----
 
     void schedule_next(const load_class& kind, time_point from) {
         const milliseconds since{std::chrono::duration_cast<milliseconds>(from.time_since_epoch()) - warm_up};
-        if (since >= options_.length)
+        if (since >= options_.duration)
             return;
         const bool is_burst = since >= options_.burst_begin && since < options_.burst_end;
         const double rate = kind.jobs_per_second * (is_burst ? options_.burst : 1);
@@ -423,10 +425,10 @@
         constexpr double job_spread = 0.4;
         constexpr double task_spread = 0.15;
         constexpr double estimate_spread = 0.4;
-        const auto around = [this](double spread) {
+        const auto random_factor = [this](double spread) {
             return std::lognormal_distribution<double>{-spread * spread / 2, spread}(traffic_random_);
         };
-        const double work = static_cast<double>(kind.mean_work.count()) * around(job_spread);
+        const double work = static_cast<double>(kind.mean_work.count()) * random_factor(job_spread);
         const int number = ++last_job_;
         const std::string digits = std::to_string(number);
         job_submission request;
@@ -436,33 +438,34 @@
         request.plan.is_durable = false;
         job_step step;
         step.task_count = static_cast<std::uint32_t>(
-            std::max<std::int64_t>(1, std::llround(kind.mean_tasks * around(job_spread))));
+            std::max<std::int64_t>(1, std::llround(kind.mean_tasks * random_factor(job_spread))));
         step.task_needs = {kind.millicores, 64, 0};
-        step.estimate_ms = std::max<std::int64_t>(1, std::llround(work * around(estimate_spread)));
+        step.estimate_ms = std::max<std::int64_t>(1, std::llround(work * random_factor(estimate_spread)));
         request.plan.steps.push_back(step);
         needs_[request.job] = kind.millicores;
         milliseconds longest{1};
         for (task_index i = 0; i < step.task_count; ++i) {
-            const milliseconds task_work{std::max<std::int64_t>(1, std::llround(work * around(task_spread)))};
+            const milliseconds task_work{
+                std::max<std::int64_t>(1, std::llround(work * random_factor(task_spread)))};
             longest = std::max(longest, task_work);
             for (const auto& agent : agents_)
                 agent->backend.set_work({request.job, 0, 0, i}, task_work);
         }
         const milliseconds objective{
             static_cast<std::int64_t>(stretch * static_cast<double>(longest.count())) + slack.count()};
-        const milliseconds patience = 3 * objective + extra_patience;
-        request.answer_by = now_ + patience;
+        const milliseconds caller_timeout = 3 * objective + extra_caller_timeout;
+        request.answer_by = now_ + caller_timeout;
         ++outcomes_[kind.queue].jobs;
         const int entry = std::uniform_int_distribution<int>{0, options_.entries - 1}(traffic_random_);
         const caller_token token = request.token;
         calls_[token] = {kind.queue, now_, objective};
-        at(now_ + way(), [this, entry, request] {
+        at(now_ + network_delay(), [this, entry, request] {
             handle(*entries_[entry], 3 * options_.entry_cost, [this, entry, request] {
                 entries_[entry]->core->submit(request, now_, wall_time{} + now_.time_since_epoch());
                 flush(*entries_[entry]);
             });
         });
-        at(now_ + patience, [this, entry, token] {
+        at(now_ + caller_timeout, [this, entry, token] {
             const auto found = calls_.find(token);
             if (found == calls_.end())
                 return;
@@ -475,8 +478,8 @@
         });
     }
 
-    void take_reply(int, const caller_reply& reply) {
-        at(now_ + way(), [this, reply] {
+    void record_reply(int, const caller_reply& reply) {
+        at(now_ + network_delay(), [this, reply] {
             const auto found = calls_.find(reply.token);
             if (found == calls_.end())
                 return;
@@ -507,7 +510,7 @@
     // A generator of its own, so that the same jobs arrive whatever the entries and agents decide.
     std::mt19937_64 traffic_random_;
     time_point now_{};
-    std::uint64_t order_ = 0;
+    std::uint64_t last_event_order_ = 0;
     std::priority_queue<event> events_;
     std::vector<std::unique_ptr<entry_node>> entries_;
     std::vector<std::unique_ptr<agent_node>> agents_;
@@ -517,10 +520,10 @@
     std::map<std::string, load_outcome> outcomes_;
     int last_job_ = 0;
     std::size_t messages_ = 0;
-    double used_ = 0;
+    double utilization_sum_ = 0;
     std::size_t samples_ = 0;
-    std::size_t bounced_ = 0;
-    bool is_room_kept_ = true;
+    std::size_t returned_runs_ = 0;
+    bool is_capacity_respected_ = true;
 };
 
 } // namespace persimmonstile
