--- a/bench/scheduler_benchmark.cpp
+++ b/bench/scheduler_benchmark.cpp
@@ -236,7 +236,8 @@
             sums["p99"] += quantile(responses, 0.99) / quantile(ideals, 0.99);
             sums["request_p99"] += quantile(requests, 0.99) / quantile(ideal_requests, 0.99);
             sums["goodput"] += useful / (capacity_of(agents) * seconds * 2 / 3);
-            sums["wasted"] += 100.0 * static_cast<double>(run.wasted) / static_cast<double>(run.tasks_sent);
+            sums["wasted"] +=
+                100.0 * static_cast<double>(run.wasted_messages) / static_cast<double>(run.tasks_sent);
             sums["late"] += 100 * late / jobs;
             sums["refused"] += 100 * refused / jobs;
         }
--- a/tests/call_pacer_test.cpp
+++ b/tests/call_rate_limiter_test.cpp
@@ -14,24 +14,24 @@
 
 // Guards against a loop of calls that exceeds this process's share of the call rate of the store.
 TEST(call_rate_limiter, spreads_calls_beyond_the_burst) {
-    call_rate_limiter pacer{settings, seed};
+    call_rate_limiter limiter{settings, seed};
     for (int i = 0; i < 5; ++i)
-        EXPECT_EQ(pacer.reserve(start), boot_clock::duration::zero());
-    EXPECT_EQ(pacer.reserve(start), milliseconds{100});
-    EXPECT_EQ(pacer.reserve(start), milliseconds{200});
-    EXPECT_EQ(pacer.reserve(start + std::chrono::seconds{10}), boot_clock::duration::zero());
+        EXPECT_EQ(limiter.reserve(start), boot_clock::duration::zero());
+    EXPECT_EQ(limiter.reserve(start), milliseconds{100});
+    EXPECT_EQ(limiter.reserve(start), milliseconds{200});
+    EXPECT_EQ(limiter.reserve(start + std::chrono::seconds{10}), boot_clock::duration::zero());
 }
 
 // Guards against clients that overload a store during its outage. The caller retries without a delay of its
 // own for 60 s.
 TEST(call_rate_limiter, backoff_limits_the_call_rate_during_an_outage) {
-    call_rate_limiter pacer{settings, seed};
+    call_rate_limiter limiter{settings, seed};
     time_point now = start;
     int calls = 0;
     while (now < start + std::chrono::seconds{60}) {
-        now += pacer.reserve(now);
+        now += limiter.reserve(now);
         ++calls;
-        pacer.record_failure(now);
+        limiter.record_failure(now);
     }
     // Calls are at least 0.5 s apart once the backoff has reached its maximum; the shorter backoffs before
     // that add a few calls.
--- a/tests/grantor_test.cpp
+++ b/tests/grantor_test.cpp
@@ -30,25 +30,25 @@
 
 // Returns a grantor that received the bootstrap read (version 0, no grantors) before the first table, so
 // that it needs no recovery.
-grantor first_grantor(const std::string& name, const std::vector<std::string>& grantors) {
+grantor initial_grantor(const std::string& name, const std::vector<std::string>& grantors) {
     grantor g{{name, 1}, start};
     g.push(owner_table{}, start);
     g.push(table_with(1, grantors), start);
     return g;
 }
 
-bool grants(grantor& g, const incarnation& owner, table_version version, time_point now) {
+bool is_granted(grantor& g, const incarnation& owner, table_version version, time_point now) {
     return g.request(request_from(owner, version), 0, now).granted;
 }
 
 // Guards against a restarted grantor that takes the first table it receives for the first table of the cell
 // and grants without recovery.
 TEST(grantor, grants_without_recovery_only_after_a_bootstrap_read_that_found_no_table) {
-    grantor fresh = first_grantor("g", {"g", "h", "i"});
-    EXPECT_TRUE(grants(fresh, owner_a, 1, start));
+    grantor fresh = initial_grantor("g", {"g", "h", "i"});
+    EXPECT_TRUE(is_granted(fresh, owner_a, 1, start));
     grantor restarted{{"g", 2}, start};
     EXPECT_TRUE(restarted.push(table_with(1, {"g", "h", "i"}), start).recovering);
-    EXPECT_FALSE(grants(restarted, owner_a, 1, start + 10s));
+    EXPECT_FALSE(is_granted(restarted, owner_a, 1, start + 10s));
     // A bootstrap read does not cover tables after the first one.
     grantor late{{"g", 3}, start};
     late.push(owner_table{}, start);
@@ -61,13 +61,13 @@
 
 // Guards against granting leases to an owner that was deposed or that has an older configuration.
 TEST(grantor, refuses_older_versions_and_revisions) {
-    grantor g = first_grantor("g", {"g"});
+    grantor g = initial_grantor("g", {"g"});
     EXPECT_EQ(g.push(table_with(5, {"g"}), start).version, 5U);
     const grant_reply refusal = g.request(request_from(owner_a, 4), 0, start);
     EXPECT_FALSE(refusal.granted);
     EXPECT_EQ(refusal.version, 5U);
-    EXPECT_TRUE(grants(g, owner_a, 5, start));
-    EXPECT_TRUE(grants(g, owner_a, 6, start));
+    EXPECT_TRUE(is_granted(g, owner_a, 5, start));
+    EXPECT_TRUE(is_granted(g, owner_a, 6, start));
     EXPECT_FALSE(g.request(request_from(owner_a, 5), 1, start).granted);
     EXPECT_EQ(g.push(table_with(3, {"g"}), start).version, 5U);
     EXPECT_EQ(g.epoch_of(7), 5U);
@@ -77,7 +77,7 @@
 // Guards against failures that are not detected, and against reports by a grantor that was paused itself
 // and has therefore received no requests.
 TEST(grantor, reports_owners_that_were_silent_for_a_second) {
-    grantor g = first_grantor("g", {"g"});
+    grantor g = initial_grantor("g", {"g"});
     time_point now = start;
     for (; now < start + 1s; now += 300ms)
         EXPECT_TRUE(g.request(request_from(owner_a, 1), 0, now).silent_owners.empty());
@@ -105,11 +105,11 @@
     g.recovered(reply("i", 6, question->nonce), start);
     g.recovered(reply("j", 6, question->nonce + 1), start);
     g.recovered(reply("g", 6, question->nonce), start);
-    EXPECT_FALSE(grants(g, owner_a, 6, start + 10s));
+    EXPECT_FALSE(is_granted(g, owner_a, 6, start + 10s));
     g.recovered(reply("j", 5, question->nonce), start + 10s);
-    EXPECT_FALSE(grants(g, owner_a, 6, start + 10s + grant_period - 1ms));
-    EXPECT_TRUE(grants(g, owner_a, 6, start + 10s + grant_period));
-    EXPECT_FALSE(grants(g, owner_a, 5, start + 10s + grant_period));
+    EXPECT_FALSE(is_granted(g, owner_a, 6, start + 10s + grant_period - 1ms));
+    EXPECT_TRUE(is_granted(g, owner_a, 6, start + 10s + grant_period));
+    EXPECT_FALSE(is_granted(g, owner_a, 5, start + 10s + grant_period));
     EXPECT_EQ(g.answer({{"h", 9}, 1})->recorded.size(), 3U);
 }
 
@@ -120,9 +120,9 @@
     const std::uint64_t nonce = g.recovery_due(start)->nonce;
     for (const char* name : {"h", "i"})
         g.recovered({{"g", 2}, nonce, {name, 1}, table_with(3, {"g", "h", "i", "j"}), {}}, start);
-    EXPECT_FALSE(grants(g, owner_a, 3, start + 10s));
+    EXPECT_FALSE(is_granted(g, owner_a, 3, start + 10s));
     g.recovered({{"g", 2}, nonce, {"j", 1}, table_with(3, {"g", "h", "i", "j"}), {}}, start);
-    EXPECT_TRUE(grants(g, owner_a, 3, start + 10s));
+    EXPECT_TRUE(is_granted(g, owner_a, 3, start + 10s));
 }
 
 // Guards against a single grantor that restarts and resumes granting although nobody holds its previous
@@ -132,7 +132,7 @@
     g.push(table_with(3, {"g"}), start);
     const std::uint64_t nonce = g.recovery_due(start)->nonce;
     g.recovered({{"g", 2}, nonce, {"g", 1}, table_with(3, {"g"}), {}}, start);
-    EXPECT_FALSE(grants(g, owner_a, 3, start + 10s));
+    EXPECT_FALSE(is_granted(g, owner_a, 3, start + 10s));
 }
 
 // Guards against adding a grantor to the set before it can grant.
@@ -143,12 +143,12 @@
     for (const char* name : {"h", "i"})
         g.recovered({{"g", 1}, nonce, {name, 1}, table_with(2, {"h", "i", "j"}), {}}, start);
     g.push(table_with(3, {"g", "h", "i", "j"}), start + grant_period);
-    EXPECT_TRUE(grants(g, owner_a, 3, start + grant_period));
+    EXPECT_TRUE(is_granted(g, owner_a, 3, start + grant_period));
 }
 
 // Guards against agent records that only a majority of an older grantor set holds.
 TEST(grantor, records_nothing_for_an_entry_with_an_older_table) {
-    grantor g = first_grantor("g", {"g"});
+    grantor g = initial_grantor("g", {"g"});
     g.push(table_with(2, {"g"}), start);
     EXPECT_TRUE(g.request(request_from(owner_a, 1, {agent_x1}), 0, start).recorded.empty());
     EXPECT_TRUE(g.answer({})->recorded.empty());
@@ -156,7 +156,7 @@
 
 // Guards against unbounded growth of the agent records, and against dropping the record of a live agent.
 TEST(grantor, drops_replaced_records_after_the_deduplication_window) {
-    grantor g = first_grantor("g", {"g"});
+    grantor g = initial_grantor("g", {"g"});
     const auto recorded = [&](time_point now, std::vector<incarnation> agents) {
         g.request(request_from(owner_a, 1, std::move(agents)), 0, now);
         return g.answer({})->recorded;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -60,11 +60,11 @@
     workload load;
     load.duration = 20s;
     load.work_per_second = 0.5 * capacity_of(eleven_agents());
-    scheduler_simulation<TypeParam> run{eleven_agents(), load.entries, simulated_fleet()};
-    const time_point end = run.now + load.duration + load.deadline;
-    run.submit_all(make_trace(load));
-    run.run_until(end);
-    for (const simulated_outcome& outcome : run.outcomes)
+    scheduler_simulation<TypeParam> simulation{eleven_agents(), load.entries, simulated_fleet()};
+    const time_point end = simulation.now + load.duration + load.deadline;
+    simulation.submit_all(make_trace(load));
+    simulation.run_until(end);
+    for (const simulated_outcome& outcome : simulation.outcomes)
         EXPECT_TRUE(outcome.response);
 }
 
@@ -133,16 +133,17 @@
     load.work_per_second = 0.7 * capacity_of(eleven_agents());
     const auto trace = make_trace(load);
     const auto ideals = ideal_responses(trace, eleven_agents());
-    scheduler_simulation<> run{eleven_agents(), load.entries, simulated_fleet()};
-    const time_point end = run.now + load.duration + load.deadline;
-    run.submit_all(trace);
-    run.run_until(end);
+    scheduler_simulation<> simulation{eleven_agents(), load.entries, simulated_fleet()};
+    const time_point end = simulation.now + load.duration + load.deadline;
+    simulation.submit_all(trace);
+    simulation.run_until(end);
     std::vector<double> responses;
-    for (const simulated_outcome& outcome : run.outcomes)
+    for (const simulated_outcome& outcome : simulation.outcomes)
         responses.push_back(outcome.response.value());
     EXPECT_LE(quantile(responses, 0.5), 1.05 * quantile(ideals, 0.5));
     EXPECT_LE(quantile(responses, 0.99), 1.3 * quantile(ideals, 0.99));
-    EXPECT_LE(static_cast<double>(run.wasted), 0.01 * static_cast<double>(run.tasks_sent));
+    EXPECT_LE(static_cast<double>(simulation.wasted_messages),
+              0.01 * static_cast<double>(simulation.tasks_sent));
 }
 
 } // namespace
--- a/tests/scheduler_simulation.h
+++ b/tests/scheduler_simulation.h
@@ -58,7 +58,7 @@
 // Discrete-event simulation of callers, network and agents around the schedulers of several entries.
 template <placement_policy policy = placement_least_completion> class scheduler_simulation {
 public:
-    static constexpr std::chrono::microseconds delay{1500};
+    static constexpr std::chrono::microseconds network_delay{1500};
     static constexpr const char* service = "form";
 
     scheduler_simulation(std::vector<simulated_agent> simulated, std::uint32_t entries,
@@ -71,7 +71,8 @@
         }
         publish();
         for (std::size_t i = 0; i < agents.size(); ++i) {
-            agent_status status{id_of(i), agents[i].zone, "", false, 0, {{service, agents[i].load().slots}}};
+            agent_status status{
+                agent_id(i), agents[i].zone, "", false, 0, {{service, agents[i].load().slots}}};
             for (auto& each : schedulers)
                 each.agent_changed(status, now);
         }
@@ -83,16 +84,16 @@
             each.set_fleet(std::make_shared<const fleet_view>(fleet), now);
     }
 
-    void at(time_point time, std::function<void()> action) {
+    void schedule(time_point time, std::function<void()> action) {
         events_.push({time, sequence_++, std::move(action)});
     }
 
     void submit_all(std::vector<simulated_job> trace) {
         jobs = std::move(trace);
         outcomes.assign(jobs.size(), {});
-        left_.assign(jobs.size(), 0);
+        unfinished_tasks_.assign(jobs.size(), 0);
         for (std::size_t i = 0; i < jobs.size(); ++i)
-            at(jobs[i].arrival, [this, i] { submit(i); });
+            schedule(jobs[i].arrival, [this, i] { submit(i); });
     }
 
     void run_until(time_point end) {
@@ -105,7 +106,7 @@
         now = end;
     }
 
-    static incarnation id_of(std::size_t agent) { return {"agent-" + std::to_string(agent), agent + 1}; }
+    static incarnation agent_id(std::size_t agent) { return {"agent-" + std::to_string(agent), agent + 1}; }
 
     std::vector<simulated_agent> agents;
     fleet_view fleet;
@@ -114,7 +115,7 @@
     std::vector<simulated_outcome> outcomes;
     time_point now{std::chrono::seconds{1000}};
     std::uint64_t tasks_sent = 0;
-    std::uint64_t wasted = 0;
+    std::uint64_t wasted_messages = 0;
     double work_done = 0;
 
 private:
@@ -129,43 +130,43 @@
         }
     };
 
-    static job_id name_of(std::size_t job) { return "job-" + std::to_string(job); }
-    static std::size_t job_of(const job_id& name) { return std::stoul(name.substr(4)); }
+    static job_id job_name(std::size_t job) { return "job-" + std::to_string(job); }
+    static std::size_t job_index(const job_id& name) { return std::stoul(name.substr(4)); }
 
     void submit(std::size_t job) {
         const simulated_job& each = jobs[job];
         const auto refused =
-            schedulers[each.entry].admit(name_of(job), each.spec, now + each.spec.deadline(), now);
+            schedulers[each.entry].admit(job_name(job), each.spec, now + each.spec.deadline(), now);
         if (refused) {
             outcomes[job].refused = refused;
             return;
         }
-        left_[job] = each.spec.tasks.size();
-        at(now + each.spec.deadline(), [this, job] { fail(job); });
+        unfinished_tasks_[job] = each.spec.tasks.size();
+        schedule(now + each.spec.deadline(), [this, job] { fail(job); });
         dispatch(each.entry);
     }
 
     void fail(std::size_t job) {
-        if (left_[job] == 0)
+        if (unfinished_tasks_[job] == 0)
             return;
-        left_[job] = 0;
-        schedulers[jobs[job].entry].withdraw(name_of(job));
+        unfinished_tasks_[job] = 0;
+        schedulers[jobs[job].entry].withdraw(job_name(job));
     }
 
     void dispatch(std::uint32_t entry) {
         for (const assignment& each : schedulers[entry].take_assignments(now)) {
             const std::size_t agent = each.agent.number - 1;
             tasks_sent += each.tasks.size();
-            at(now + delay, [this, agent, each] {
+            schedule(now + network_delay, [this, agent, each] {
                 for (const task_index index : each.tasks)
-                    receive(agent, job_of(each.job), index);
+                    receive(agent, job_index(each.job), index);
             });
         }
         const auto wakeup = schedulers[entry].next_wakeup();
         if (!wakeup || (wakeups_[entry] > now && wakeups_[entry] <= *wakeup))
             return;
         wakeups_[entry] = *wakeup;
-        at(*wakeup, [this, entry] { dispatch(entry); });
+        schedule(*wakeup, [this, entry] { dispatch(entry); });
     }
 
     void receive(std::size_t number, std::size_t job, task_index index) {
@@ -193,9 +194,9 @@
         if (agent.hangs)
             return;
         const double seconds = agent.fails ? 0.005 : jobs[job].work[index] / agent.speed;
-        const auto run = std::chrono::microseconds{std::llround(seconds * 1e6)};
+        const auto run_time = std::chrono::microseconds{std::llround(seconds * 1e6)};
         const auto status = agent.fails ? task_status::failed : task_status::succeeded;
-        at(now + run, [this, number, job, index, run, status] {
+        schedule(now + run_time, [this, number, job, index, run_time, status] {
             simulated_agent& done = agents[number];
             --done.running;
             work_done += status == task_status::succeeded ? jobs[job].work[index] : 0;
@@ -207,40 +208,40 @@
             task_report report;
             report.index = index;
             report.status = status;
-            report.run_us = run.count();
+            report.run_us = run_time.count();
             send(number, job, report);
         });
     }
 
     void send(std::size_t number, std::size_t job, const task_report& report) {
         agents[number].refused += report.status == task_status::not_started ? 1 : 0;
-        wasted += report.status == task_status::not_started ? 1 : 0;
-        at(now + delay, [this, number, job, report, load = agents[number].load()] {
+        wasted_messages += report.status == task_status::not_started ? 1 : 0;
+        schedule(now + network_delay, [this, number, job, report, load = agents[number].load()] {
             const std::uint32_t entry = jobs[job].entry;
-            schedulers[entry].task_returned(id_of(number), name_of(job), report, now);
-            schedulers[entry].load_reported(id_of(number), service, load, now);
-            settle(job, report);
+            schedulers[entry].task_returned(agent_id(number), job_name(job), report, now);
+            schedulers[entry].load_reported(agent_id(number), service, load, now);
+            process_report(job, report);
             dispatch(entry);
         });
     }
 
-    void settle(std::size_t job, const task_report& report) {
-        if (left_[job] == 0)
+    void process_report(std::size_t job, const task_report& report) {
+        if (unfinished_tasks_[job] == 0)
             return;
         const simulated_job& each = jobs[job];
         if (report.status == task_status::not_started)
-            schedulers[each.entry].requeue(name_of(job), each.spec, {report.index},
+            schedulers[each.entry].requeue(job_name(job), each.spec, {report.index},
                                            each.arrival + each.spec.deadline(), now);
         else if (report.status == task_status::failed)
             fail(job);
-        else if (--left_[job] == 0)
+        else if (--unfinished_tasks_[job] == 0)
             outcomes[job].response = std::chrono::duration<double>{now - each.arrival}.count();
     }
 
     std::priority_queue<event> events_;
     std::uint64_t sequence_ = 0;
     // Number of tasks without a result, by job; 0 once the job has ended.
-    std::vector<std::size_t> left_;
+    std::vector<std::size_t> unfinished_tasks_;
     std::vector<time_point> wakeups_;
 };
 
@@ -282,13 +283,13 @@
 
 inline std::vector<simulated_job> make_trace(const workload& load) {
     std::mt19937_64 random{load.seed};
-    std::lognormal_distribution<double> run{std::log(0.2), 0.8};
+    std::lognormal_distribution<double> run_time{std::log(0.2), 0.8};
     std::lognormal_distribution<double> size{std::log(8.0), 1.0};
     std::exponential_distribution<double> gap{1};
-    const double total = load.work_per_second * std::chrono::duration<double>{load.duration}.count();
+    const double target_work = load.work_per_second * std::chrono::duration<double>{load.duration}.count();
     std::vector<simulated_job> trace;
-    double sum = 0;
-    while (sum < total) {
+    double generated_work = 0;
+    while (generated_work < target_work) {
         simulated_job job;
         job.spec.service = "form";
         job.spec.team = "team-0";
@@ -298,16 +299,17 @@
         job.spec.deadline_ms = load.deadline.count();
         job.entry = static_cast<std::uint32_t>(random() % load.entries);
         for (std::size_t i = 0; i < job.spec.tasks.size(); ++i)
-            job.work.push_back(2.5 * std::clamp(run(random), 0.05, 5.0));
+            job.work.push_back(2.5 * std::clamp(run_time(random), 0.05, 5.0));
         for (const double work : job.work)
-            sum += work;
+            generated_work += work;
         trace.push_back(std::move(job));
     }
     // Independent uniform arrival times form a Poisson process.
-    std::uniform_real_distribution<double> when{0, std::chrono::duration<double>{load.duration}.count()};
+    std::uniform_real_distribution<double> arrival_seconds{
+        0, std::chrono::duration<double>{load.duration}.count()};
     std::vector<double> times(trace.size());
     for (double& time : times)
-        time = when(random);
+        time = arrival_seconds(random);
     std::sort(times.begin(), times.end());
     for (std::size_t i = 0; i < trace.size(); ++i)
         trace[i].arrival = time_point{std::chrono::seconds{1000}} +
@@ -348,10 +350,10 @@
     return responses;
 }
 
-inline double quantile(std::vector<double> values, double part) {
+inline double quantile(std::vector<double> values, double fraction) {
     if (values.empty())
         return 0;
-    const auto position = static_cast<std::size_t>(part * static_cast<double>(values.size() - 1));
+    const auto position = static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1));
     std::nth_element(values.begin(), values.begin() + static_cast<std::ptrdiff_t>(position), values.end());
     return values[position];
 }
--- a/tests/session_keeper_test.cpp
+++ b/tests/session_keeper_test.cpp
@@ -11,35 +11,35 @@
 namespace persimmonstile {
 namespace {
 
-// Runs one session_keeper against a model of the store that answers while is_up_ is set.
+// Runs one session_keeper against a model of the store that answers while is_store_up_ is set.
 class session_keeper_test : public testing::Test {
 protected:
     time_point now_{std::chrono::seconds{100}};
     kv_model store_;
     std::uint64_t last_number_ = 0;
-    session_keeper keeper_{self("entry"), [this] { return ++last_number_; }, 1};
-    std::vector<session_keeper::call> waiting_;
-    bool is_up_ = true;
+    session_keeper keeper_{make_member("entry"), [this] { return ++last_number_; }, 1};
+    std::vector<session_keeper::call> pending_calls_;
+    bool is_store_up_ = true;
 
-    static entry_record self(const std::string& name) {
+    static entry_record make_member(const std::string& name) {
         entry_record result;
         result.session.name = name;
         result.peer_address = name + ":1";
         return result;
     }
 
-    void serve() {
+    void answer_calls() {
         for (bool has_answered = true; has_answered;) {
             has_answered = false;
             for (session_keeper::call& call : keeper_.take_calls(now_))
-                waiting_.push_back(std::move(call));
-            const std::vector<session_keeper::call> calls = std::exchange(waiting_, {});
+                pending_calls_.push_back(std::move(call));
+            const std::vector<session_keeper::call> calls = std::exchange(pending_calls_, {});
             for (const session_keeper::call& call : calls) {
                 std::optional<store_reply> reply = store_failure{"no answer", true};
-                if (is_up_)
+                if (is_store_up_)
                     reply = store_.call(call.what, now_);
                 if (!reply) {
-                    waiting_.push_back(call);
+                    pending_calls_.push_back(call);
                     continue;
                 }
                 has_answered = true;
@@ -48,16 +48,16 @@
         }
     }
 
-    void pass(milliseconds time) {
+    void advance_time(milliseconds time) {
         for (milliseconds left = time; left.count() > 0; left -= milliseconds{50}) {
             now_ += milliseconds{50};
-            serve();
+            answer_calls();
         }
     }
 
     // Adds another entry. It counts as alive while its liveness key exists.
     void add_other(const incarnation& session) {
-        entry_record record = self(session.name);
+        entry_record record = make_member(session.name);
         record.session = session;
         store_.put(entry_key(session.name), record);
         store_.put(alive_key(session), std::string{});
@@ -66,10 +66,10 @@
 
 // Guards against a session whose liveness key expires because its lease is not renewed.
 TEST_F(session_keeper_test, begins_a_session_and_renews_its_lease) {
-    serve();
+    answer_calls();
     ASSERT_EQ(keeper_.session().number, 1U);
     EXPECT_TRUE(store_.items().contains(alive_key(keeper_.session())));
-    pass(milliseconds{5000});
+    advance_time(milliseconds{5000});
     EXPECT_TRUE(store_.items().contains(alive_key(keeper_.session())));
     EXPECT_EQ(keeper_.session().number, 1U);
 }
@@ -89,7 +89,7 @@
         now_ += milliseconds{100};
     }
     EXPECT_EQ(keeper_.session().number, 1U);
-    serve();
+    answer_calls();
     EXPECT_TRUE(keeper_.take_adopted().empty());
     EXPECT_TRUE(keeper_.members().adoptions().empty());
 }
@@ -100,7 +100,7 @@
     const incarnation former{"entry", 77};
     add_other(former);
     store_.put(open_key(former, "a"), open_job{});
-    serve();
+    answer_calls();
     const auto adopted = keeper_.take_adopted();
     ASSERT_EQ(adopted.size(), 1U);
     EXPECT_EQ(adopted[0].record.former, former);
@@ -112,16 +112,16 @@
 TEST_F(session_keeper_test, gives_expired_sessions_time_to_return_after_an_outage) {
     const incarnation other{"other", 9};
     add_other(other);
-    serve();
-    pass(milliseconds{3000});
-    is_up_ = false;
-    pass(milliseconds{1000});
+    answer_calls();
+    advance_time(milliseconds{3000});
+    is_store_up_ = false;
+    advance_time(milliseconds{1000});
     store_.remove(alive_key(other));
-    pass(milliseconds{1000});
-    is_up_ = true;
-    pass(milliseconds{1800});
+    advance_time(milliseconds{1000});
+    is_store_up_ = true;
+    advance_time(milliseconds{1800});
     EXPECT_TRUE(keeper_.take_adopted().empty());
-    pass(milliseconds{1500});
+    advance_time(milliseconds{1500});
     EXPECT_EQ(keeper_.take_adopted().size(), 1U);
 }
 
@@ -130,13 +130,13 @@
     const incarnation other{"other", 9};
     add_other(other);
     keeper_.set_connected({other});
-    serve();
-    pass(milliseconds{3000});
+    answer_calls();
+    advance_time(milliseconds{3000});
     store_.remove(alive_key(other));
-    pass(milliseconds{5000});
+    advance_time(milliseconds{5000});
     EXPECT_TRUE(keeper_.take_adopted().empty());
     keeper_.set_connected({});
-    pass(milliseconds{1000});
+    advance_time(milliseconds{1000});
     EXPECT_EQ(keeper_.take_adopted().size(), 1U);
 }
 
@@ -144,22 +144,22 @@
 TEST_F(session_keeper_test, adopts_the_jobs_of_a_leaving_entry_without_delay) {
     const incarnation other{"other", 9};
     add_other(other);
-    serve();
-    pass(milliseconds{200});
-    entry_record leaving = self("other");
+    answer_calls();
+    advance_time(milliseconds{200});
+    entry_record leaving = make_member("other");
     leaving.session = other;
     leaving.is_leaving = true;
     store_.put(entry_key("other"), leaving);
     store_.remove(alive_key(other));
-    pass(milliseconds{300});
+    advance_time(milliseconds{300});
     EXPECT_EQ(keeper_.take_adopted().size(), 1U);
 }
 
 // Guards against a liveness key that stays deleted after its lease was revoked.
 TEST_F(session_keeper_test, rewrites_its_liveness_key_when_its_lease_is_gone) {
-    serve();
+    answer_calls();
     store_.revoke_leases();
-    pass(milliseconds{1500});
+    advance_time(milliseconds{1500});
     EXPECT_TRUE(store_.items().contains(alive_key(keeper_.session())));
     EXPECT_EQ(keeper_.session().number, 1U);
 }
@@ -167,20 +167,20 @@
 // Guards against a stale view of the members after the store has compacted the history that the watch
 // needs.
 TEST_F(session_keeper_test, lists_the_members_again_when_the_history_is_lost) {
-    serve();
-    for (const session_keeper::call& call : std::exchange(waiting_, {}))
+    answer_calls();
+    for (const session_keeper::call& call : std::exchange(pending_calls_, {}))
         keeper_.replied(call.id, history_lost{}, now_);
     add_other({"other", 9});
     store_.compact();
-    serve();
+    answer_calls();
     EXPECT_NE(keeper_.members().find_entry("other"), nullptr);
 }
 
 // Guards against two sessions of the same entry that both act as owner of its jobs.
 TEST_F(session_keeper_test, begins_another_session_when_its_record_is_replaced) {
-    serve();
+    answer_calls();
     store_.remove(entry_key("entry"));
-    pass(milliseconds{300});
+    advance_time(milliseconds{300});
     EXPECT_EQ(keeper_.session().number, 2U);
 }
 
