--- a/coordination/caller_left.h
+++ b/coordination/caller_left.h
@@ -6,7 +6,7 @@
 
 namespace persimmonstile {
 
-// Reports that a caller has stopped waiting. Its job continues.
+// Event: a caller has stopped waiting. Its job continues.
 struct caller_left {
     job_id job;
     caller_token token = 0;
--- a/coordination/caller_reply.h
+++ b/coordination/caller_reply.h
@@ -13,9 +13,10 @@
 //   accepted     the job is in the store
 //   refused      the job is not accepted and never runs
 //   uncertain    it is not known yet whether the job was accepted, or what its state is
-//   state        the state of the job
+//   state        the current state of the job
 //   gone         no such job exists
-//   cancelled    the cancellation is in the store
+//   cancelled    the job to be cancelled has ended, perhaps in another way; state says how. The end of a
+//                durable job is in the store.
 enum class caller_reply_kind : std::uint8_t { accepted, refused, uncertain, state, gone, cancelled };
 
 // Why a job was refused.
--- a/coordination/commit.h
+++ b/coordination/commit.h
@@ -13,27 +13,27 @@
 
 namespace persimmonstile {
 
-// Makes a job durable if no entry knows its id.
+// Accepts a job: stores its status and its record. Conflicts if a status with its id is stored already.
 struct commit_accept {
     std::shared_ptr<const open_job> record;
 };
 
-// Replaces the record of an open job by one with its progress.
+// Replaces the record of an open job by a record that contains the progress of its tasks.
 struct commit_progress {
-    // Session under which the record is kept.
+    // Session under which the record is stored.
     incarnation keeper;
     std::shared_ptr<const open_job> record;
-    // Revision of the record that is replaced.
+    // Expected revision of the stored record.
     std::uint64_t revision = 0;
 };
 
-// Records the final status of a job.
+// Stores the final status of a job and removes its record.
 struct commit_end {
     incarnation keeper;
     job_status status;
 };
 
-// Removes the status of an ended job.
+// Removes the stored status of an ended job.
 struct commit_forget {};
 
 // One change to the stored records of a job.
@@ -44,14 +44,14 @@
 
 // The outcome of a commit.
 //   durable    the change is in the store
-//   conflict   a condition on the records failed; commit_result::present has the stored status
+//   conflict   a condition failed, so the change is not in the store
 //   abandoned  the store did not apply the write and never will
 enum class commit_outcome : std::uint8_t { durable, conflict, abandoned };
 
 struct commit_result {
     commit what;
     commit_outcome outcome = commit_outcome::durable;
-    // Revision of the job's record after a durable acceptance or progress.
+    // Revision of the stored record after an acceptance or an update of the progress became durable.
     std::uint64_t revision = 0;
     // Stored status of the job after a conflicting acceptance.
     job_status present;
--- a/coordination/commit_queue.cpp
+++ b/coordination/commit_queue.cpp
@@ -12,11 +12,12 @@
 // Maximum number of conditions, values and removals that the store accepts in one write.
 constexpr std::size_t max_write_entries = 32;
 
-// Maximum size of the records in one write; far below the store's value limit, and short to parse.
+// Maximum estimated size of the records in one write. Far below the store's value limit, and quick to parse.
+// A larger record is written alone.
 constexpr std::size_t max_batch_bytes = std::size_t{256} * 1024;
 
-// Maximum number of writes in flight. One is enough for a store that answers within milliseconds; more
-// maintain the throughput when it is slow.
+// Maximum number of writes in flight. One is enough if the store answers within milliseconds. More keep up
+// the throughput when it is slow.
 constexpr std::size_t max_writes_in_flight = 4;
 
 // While a write is in flight, the next one is sent after this time even if it is not full.
@@ -28,11 +29,11 @@
 constexpr milliseconds min_timeout{50};
 constexpr milliseconds max_timeout{1000};
 
-// Retry delay after a failure that says that the write was not applied.
+// Retry delay after a failure that reports that the write was not applied.
 constexpr milliseconds refusal_pause{40};
 
-// An acceptance that has certainly not been applied within this time is abandoned, so that its caller gets a
-// reply.
+// An acceptance is abandoned after this time if no attempt to write it can have been applied, so that its
+// caller gets a reply.
 constexpr milliseconds acceptance_timeout{250};
 
 bool is_accept(const commit& what) {
@@ -79,7 +80,7 @@
     queue_.push_back(std::move(what));
 }
 
-// Counts the conditions, values and removals of a commit.
+// Returns the number of conditions, values and removals that a commit adds to a write.
 std::size_t commit_queue::entries_of(const commit& what) {
     if (is_accept(what))
         return 3;
@@ -178,7 +179,7 @@
         return false;
     }
     failing_since_.reset();
-    // The answer to a retried write may belong to any attempt, so it is no round-trip sample.
+    // The answer to a retried write may belong to any attempt, so it is not used as a round-trip sample.
     if (ended.attempts == 1)
         round_trip_.answered(now - ended.sent);
     bool is_deposed = false;
@@ -197,8 +198,8 @@
         results_.push_back({std::move(done), commit_outcome::durable, reply.revision, {}});
 }
 
-// This attempt changed nothing. Commits whose conditions failed get a result; the others go into the next
-// write. An acceptance that finds its own record was applied by an earlier attempt.
+// A conflicting write changes nothing. Commits whose conditions failed get a result, and the others go into
+// the next write. If the stored record already is what a commit would write, an earlier attempt was applied.
 bool commit_queue::settle_conflict(batch& failed, const write_conflict& reply, time_point) {
     const store_item* entry = find_item(reply, entry_key(session_.name));
     if (entry == nullptr || entry->revision != entry_revision_)
@@ -229,7 +230,7 @@
         } else if (present->progress == progress->record->progress) {
             results_.push_back({std::move(what), commit_outcome::durable, item->revision, {}});
         } else {
-            // Only this session writes the record, so the expected revision was stale.
+            // No other session writes the record, so only the expected revision was stale.
             commit_progress current = *progress;
             current.revision = item->revision;
             again.push_back({what.job, current});
@@ -254,7 +255,7 @@
         give_up(failed);
 }
 
-// Abandons the acceptances of a write that was certainly not applied. The other commits are still retried.
+// Abandons the acceptances of a write that cannot have been applied. Its other commits are still retried.
 void commit_queue::give_up(batch& failed) {
     std::vector<commit> rest;
     for (commit& what : failed.commits) {
--- a/coordination/commit_queue.h
+++ b/coordination/commit_queue.h
@@ -15,9 +15,9 @@
 namespace persimmonstile {
 
 // Group commit of the changes to job records. Collects commits while writes are in flight and sends them as
-// one conditional write. Every write requires that the session still holds its entry record, so a deposed
-// session cannot change anything. An unanswered write may still take effect at any later time. It is retried
-// unchanged until the store answers, and its conditions ensure that it takes effect only once.
+// one conditional write. Each write is conditional on the session's entry record, so a deposed session cannot
+// change anything. An unanswered write may still take effect at any later time. It is retried unchanged until
+// the store answers, and its conditions ensure that it takes effect only once.
 class commit_queue {
 public:
     struct write {
@@ -28,34 +28,36 @@
 
     commit_queue();
 
-    // Sets the session under which commits are made. Pending commits of an earlier session are dropped.
+    // Sets the session that makes the commits. Pending commits of an earlier session are dropped.
     void set_session(const incarnation& session, std::uint64_t entry_revision);
     void clear_session();
     bool has_session() const { return entry_revision_ != 0; }
 
     void add(commit what, time_point now);
 
-    // Processes the reply to a write. Returns true if it shows that the session is deposed.
+    // Processes the store's reply to a write. Returns true if the reply shows that the session is deposed.
     bool replied(std::uint64_t id, const store_reply& reply, time_point now);
 
-    // Returns the writes to send now.
+    // Returns the new writes and the retries to send now.
     std::vector<write> take_writes(time_point now);
     std::vector<commit_result> take_results();
     std::optional<time_point> next_wakeup() const;
 
-    // Start of the current series of failed or unanswered calls; empty if the last call was answered.
+    // Time of the first write that failed or got no answer since the store last answered one; empty if there
+    // is none.
     std::optional<time_point> failing_since() const { return failing_since_; }
     bool is_empty() const { return queue_.empty() && batches_.empty(); }
 
 private:
+    // Commits that are sent as one write.
     struct batch {
         std::vector<commit> commits;
         store_write call;
         time_point created{};
         time_point sent{};
-        // Time of the next attempt; empty while the write is in flight.
+        // Time of the next attempt; empty while an attempt is in flight.
         std::optional<time_point> send_at;
-        // An attempt got no answer and may still take effect.
+        // An earlier attempt got no answer and may still take effect.
         bool is_outcome_unknown = false;
         unsigned attempts = 0;
     };
--- a/coordination/connection_shedding.h
+++ b/coordination/connection_shedding.h
@@ -4,12 +4,13 @@
 
 namespace persimmonstile {
 
-// Limits how fast an overloaded process closes its connections. Callers keep their connection open, so they
-// move to another process only when it is closed. Closing is gradual because each new connection costs work
-// and the other processes have to accept it.
+// Limits the rate at which an overloaded process closes connections. A caller keeps its connection open and
+// moves to another process only when the connection is closed. The rate is limited because each new
+// connection costs work, and the other processes have to accept it.
 class connection_shedding {
 public:
-    // Whether to close the connection after the response that is sent now.
+    // Returns whether to close the connection after the response that is sent now. If so, no other connection
+    // is closed for the next interval.
     bool take_one(bool is_overloaded, time_point now) {
         if (!is_overloaded || now < next_)
             return false;
@@ -17,7 +18,7 @@
         return true;
     }
 
-    // Ten connections per second; the callers of a site hold some tens of connections to each entry.
+    // Ten connections per second. The callers of a site hold some tens of connections to each entry.
     static constexpr milliseconds interval{100};
 
 private:
--- a/coordination/decision.h
+++ b/coordination/decision.h
@@ -9,16 +9,16 @@
 
 namespace persimmonstile {
 
-// One decision for the log: what was decided, for which job, and from which inputs.
+// A decision to be logged: what was decided, for which job, and the inputs that led to it.
 struct decision {
     using value = std::variant<std::int64_t, std::string>;
 
-    // Must refer to a string literal.
+    // Message of the log line and label of the metric of decisions. Must refer to a string literal.
     std::string_view what;
     // Empty if the decision does not concern a single job.
     std::string job;
     std::vector<std::pair<std::string_view, value>> inputs;
-    // Something was lost or refused that normally is not; logged as a warning.
+    // Logged as a warning, because something was lost or refused that normally is not.
     bool is_warning = false;
 };
 
--- a/coordination/ended_jobs.h
+++ b/coordination/ended_jobs.h
@@ -11,12 +11,12 @@
 
 namespace persimmonstile {
 
-// Keeps recently ended jobs, so that callers can still query them and a repeated submission starts nothing.
+// Holds recently ended jobs, so that callers can still query them and a repeated submission is not run again.
 class ended_jobs {
 public:
     struct ended_job {
         job_state state = job_state::unknown;
-        // Its record is in the store.
+        // The job is durable, so its final status is in the store.
         bool is_durable = true;
     };
 
@@ -25,13 +25,13 @@
         order_.emplace_back(now, job);
     }
 
-    // Null if the job has not ended, or has been removed since.
+    // Returns null if the job has not ended or has been removed since.
     const ended_job* find(const job_id& job) const {
         const auto found = jobs_.find(job);
         return found == jobs_.end() ? nullptr : &found->second;
     }
 
-    // Removes and returns a job that ended at this time or before; empty if there is none.
+    // Removes and returns the job that ended first, if it ended at or before the limit.
     std::optional<std::pair<job_id, ended_job>> take_older(time_point limit) {
         if (order_.empty() || order_.front().first > limit)
             return std::nullopt;
--- a/coordination/entry_agents.cpp
+++ b/coordination/entry_agents.cpp
@@ -73,7 +73,7 @@
     agent.last_reading_ns = std::max(agent.last_reading_ns, reading_ns);
 }
 
-// An entry that may have been deposed without knowing it must not renew the leases of runs.
+// False if the entry may have been deposed without knowing it. It must not renew the leases of runs then.
 bool entry_core::is_ownership_certain(time_point now) const {
     return session().number != 0 && now - keeper_.last_contact() < limits_.store_contact_timeout;
 }
@@ -114,7 +114,8 @@
         is_session_update_needed_ = true;
         return;
     }
-    // A run that the agent does not know has not started there and never will.
+    // If the agent has received the start message but does not list the run, the run is not running there and
+    // never will be.
     const bool is_durable = message.owner == session();
     const std::map<run_ref, std::uint64_t> believed = agent->runs;
     for (const auto& [run, start] : believed) {
@@ -127,14 +128,15 @@
     is_plan_needed_ = true;
 }
 
-// Claims the runs of own jobs that a restarted agent found on its backend server.
+// A restarted agent has found these runs on its backend server. Claims those that belong to jobs of this
+// entry.
 void entry_core::claim(agent_view& agent, const run_inventory& orphans, time_point now) {
     run_claim kept{session(), true, {}};
     run_claim unkept{process_, false, {}};
     for (const run_report& report : orphans.reports) {
         ledger_job* job = ledger_.find(report.run.task.job);
         if (job == nullptr) {
-            // No other entry will record the end of a job that has ended here.
+            // The job has ended here, so no other entry will record the end of the run.
             if (ended_.find(report.run.task.job) != nullptr && report.awaits_record)
                 acknowledge(agent.number, report.backend_life, report.end_number);
             else
@@ -145,7 +147,8 @@
             (job->is_durable() ? kept : unkept)
                 .runs.push_back({report.run, job->step(report.run.task.step).task_needs});
         take_report(agent, report, now);
-        // Inventories that the agent made before the claim do not contain the run.
+        // Inventories that the agent made before the claim do not contain the run. They must not make it
+        // count as lost.
         const auto run = agent.runs.find(report.run);
         if (run != agent.runs.end())
             run->second = agent_view::claimed;
@@ -156,7 +159,7 @@
     }
 }
 
-// Only the first entry by name queries the store about orphans; one is enough.
+// Only the first entry by name queries the store about orphaned runs, since one entry is enough.
 bool entry_core::is_first_entry() const {
     return std::all_of(peers_.begin(), peers_.end(),
                        [&](const auto& entry) { return name_ < entry.second.name; });
@@ -175,7 +178,7 @@
         output_.messages.emplace_back(agent->link, run_stop_request{process_, {unclaimed->report.run}});
 }
 
-// Marks a run as lost: it has ended without a result, or never started.
+// Treats a run as ended without a result. It may also never have started.
 void entry_core::mark_run_lost(agent_view& agent, const run_ref& run, time_point now) {
     run_report report;
     report.run = run;
@@ -190,7 +193,8 @@
         agent.runs.erase(report.run);
     ledger_job* job = ledger_.find(id);
     if (job == nullptr) {
-        // The job has ended here, or now belongs to another entry, which still needs the end.
+        // If the job has ended here, the end is no longer needed. Otherwise the job may belong to another
+        // entry, which still needs the end.
         if (report.awaits_record && ended_.find(id) != nullptr)
             acknowledge(agent.number, report.backend_life, report.end_number);
         else if (report.awaits_record)
@@ -288,7 +292,7 @@
     job.unrecorded.clear();
 }
 
-// Expires the runs of agents that have been disconnected for so long that all their leases have expired.
+// Treats the runs of a disconnected agent as lost once their leases have certainly expired.
 void entry_core::expire_unreachable_runs(time_point now) {
     const milliseconds lease = limits_.run_lease_bound();
     for (auto& [number, agent] : agents_.all()) {
--- a/coordination/entry_callers.cpp
+++ b/coordination/entry_callers.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-// Retry delay for refused callers if no better estimate is available.
+// Delay after which refused callers should retry, if there is no better estimate.
 constexpr milliseconds default_retry_delay{1000};
 
-// A reply is sent this long before the caller's timeout.
+// A caller is answered this long before its timeout at the latest.
 constexpr milliseconds reply_margin{40};
 
 } // namespace
@@ -57,7 +57,7 @@
             reply(request.token, caller_reply_kind::accepted, known->state);
         return;
     }
-    // A job that is not kept and arrives on a connection that is still open ends before the process does.
+    // A non-durable job that arrives on a connection that is still open can end before the process exits.
     const bool is_servable = !request.plan.is_durable && !keeper_.has_left() && now < hand_over_at_;
     if (now >= refuse_at_ && !is_servable) {
         refuse(request, submit_refusal::shutting_down, milliseconds{0});
@@ -86,8 +86,8 @@
     commits_.add({request.job, commit_accept{record}}, now);
 }
 
-// Accepts a job that lasts only as long as its callers wait: nothing is written to the store, and its runs
-// are stopped when the last caller leaves.
+// Accepts a non-durable job. Nothing is written to the store, and its runs are stopped when its last caller
+// leaves.
 void entry_core::submit_unkept(const job_submission& request, const queue_policy& queue, time_point now) {
     ledger_job& job =
         ledger_.add(request.job, make_record(request, queue, unix_time_ms(wall_)), process_, 0, now);
@@ -109,8 +109,8 @@
     ledger_.erase(id);
 }
 
-// Failed and late jobs have separate messages, so that the limit on equal log lines does not suppress them
-// together with those of other jobs.
+// Failed and late jobs have their own messages. The logger limits the number of lines with the same message,
+// and the lines of other jobs must not use up that limit.
 void entry_core::note_end(const ledger_job& job, time_point now) {
     auto inputs = summarize_job(job, now);
     inputs.emplace_back("state", std::string{to_string(job.state)});
@@ -126,7 +126,7 @@
         note("job ended", job.id, std::move(inputs));
 }
 
-// Drops a job that no caller waits for any more.
+// Drops a non-durable job that no caller waits for any more.
 void entry_core::drop_unkept(const job_id& id, time_point now) {
     ledger_job* job = ledger_.find(id);
     if (job == nullptr || job->is_durable())
@@ -139,8 +139,8 @@
     is_plan_needed_ = true;
 }
 
-// No task of the job has been sent to an agent, so the job has certainly not run. Its callers are told at
-// once and may retry.
+// Since no task of the job was ever sent to an agent, the job has certainly not run. Its callers are told so
+// at once and may retry.
 void entry_core::refuse_waiting(ledger_job& job, std::string_view reason, time_point now) {
     if (job.is_durable() || job.first_placed)
         return;
@@ -166,7 +166,7 @@
             refuse_waiting(job, "caller's time is over", now);
             continue;
         }
-        // Runs may have started, so the outcome is uncertain.
+        // A run may have started, so it is uncertain whether the job has run.
         for (const waiting_caller& caller : ending_.take(id))
             reply(caller.token, caller_reply_kind::uncertain);
         drop_unkept(id, now);
@@ -181,7 +181,7 @@
         drop_unkept(*job, now);
 }
 
-// Answers the callers of a job whose end is final.
+// Answers all callers that wait for the end of the job. The end must be final.
 void entry_core::answer_waiting(const job_id& job, job_state state) {
     for (const waiting_caller& caller : ending_.take(job))
         reply(caller.token, caller.is_cancellation ? caller_reply_kind::cancelled : caller_reply_kind::state,
@@ -203,7 +203,7 @@
         return;
     }
     if (known->phase == job_phase::ending) {
-        // The end is being written; waiting a few milliseconds gives the caller the final state.
+        // The end is being written. After a wait of a few milliseconds the caller gets the final state.
         ending_.add(job, {token, std::min(now + limits_.end_commit_wait, answer_by - reply_margin), false});
         return;
     }
@@ -242,13 +242,13 @@
     else if (known != nullptr)
         reply(asked.token, caller_reply_kind::state, known->state);
     else if (asked.is_cancellation)
-        // The jobs of a former session may not have been read yet.
+        // The job may belong to a former session whose jobs have not been read yet.
         reply(asked.token, caller_reply_kind::uncertain);
     else
         reply(asked.token, caller_reply_kind::state, job_state::queued);
 }
 
-// Answers expired callers with the state known so far.
+// Answers the callers whose deadline has passed, with the state known so far.
 void entry_core::answer_expired(time_point now) {
     for (const auto& [id, caller] : accepting_.take_expired(now))
         reply(caller.token, caller_reply_kind::uncertain);
--- a/coordination/entry_core.cpp
+++ b/coordination/entry_core.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// A silent connection to the store is detected within this fraction of the time in which a configuration has
-// to be in force, plus the slack of a watch.
+// Each watch of the operators' records stays open for config_bound divided by this. A silent connection to
+// the store is detected after that time plus the slack of the watch.
 constexpr int config_watch_divisor = 2;
 
-// Timeout of a read of one record; the store answers within milliseconds.
+// Timeout for reading one record. The store answers within milliseconds.
 constexpr milliseconds read_timeout{150};
 
 } // namespace
@@ -107,7 +107,7 @@
         if (message.is_cancellation && known->phase == job_phase::open)
             end_job(*known, job_state::cancelled, now);
         answer.is_known = true;
-        // An end that is not in the store yet must not be reported.
+        // The end is reported only once it is in the store.
         answer.state = known->phase == job_phase::ending ? job_state::running : known->state;
     }
     output_.messages.emplace_back(link, answer);
@@ -204,7 +204,7 @@
         if (ledger_.jobs().empty() || now >= hand_over_at_)
             keeper_.leave(ledger_.jobs().empty(), now);
     }
-    // Placement also depends on time: avoided backend servers become eligible again.
+    // Placement also depends on time: jobs become late, and agents that refused a run can be used again.
     is_plan_needed_ = true;
 }
 
@@ -245,7 +245,7 @@
     }
     acknowledgements_.clear();
     collect_store_calls(now);
-    // The calls collected above may have begun a session.
+    // keeper_.take_calls in collect_store_calls may have begun a session.
     is_session_update_needed_ = known_session_ != session();
     return std::exchange(output_, {});
 }
--- a/coordination/entry_core.h
+++ b/coordination/entry_core.h
@@ -28,35 +28,36 @@
 
 namespace persimmonstile {
 
-// Makes the decisions of an entry: accepts jobs into the store, places their tasks at agents, records their
-// ends, and adopts the jobs of entries that are gone. Deterministic and without I/O; next_session returns the
-// number of each new session.
+// Makes the decisions of an entry: accepts jobs, places their tasks at agents, records the ends of durable
+// jobs, and adopts the jobs of entries that are gone. Deterministic and without I/O. A durable job is in the
+// store before its caller is told that it is accepted, so it survives its entry. A non-durable job is not
+// stored and lasts only while a caller waits for it.
 class entry_core {
 public:
-    // The operators' configuration is stored under keys with config_prefix.
-    // process owns the runs of jobs that are not kept.
+    // The operators' configuration is stored under keys with config_prefix. process owns the runs of
+    // non-durable jobs. next_session returns the number of each new session.
     entry_core(incarnation process, entry_record self, const entry_limits& limits,
                const std::string& config_prefix, std::uint64_t seed,
                std::function<std::uint64_t()> next_session);
 
-    // Whether the operators' records have changed, or were read for the first time, since the last call. The
-    // caller then decodes them for set_config.
+    // Whether the operators' records have changed, or were read for the first time, since the last call. If
+    // so, the caller decodes them and calls set_config.
     bool take_config_change() { return operator_records_.take_change(); }
     const prefix_view& operator_records() const { return operator_records_; }
     void set_config(std::shared_ptr<const deployment_config> config, time_point now);
     const deployment_config* config() const { return config_.get(); }
 
-    // Requests of callers. Each token gets one reply.
+    // Requests of callers. Each token gets one reply, unless caller_left is called before.
     void submit(const job_submission& request, time_point now, wall_time wall);
     void ask_state(caller_token token, const job_id& job, time_point answer_by, time_point now);
     void cancel(caller_token token, const job_id& job, time_point answer_by, time_point now, wall_time wall);
-    // The caller's connection was closed, so it gets no reply. A job that is not kept ends when its last
+    // The caller's connection was closed, so it gets no reply. A non-durable job is dropped when its last
     // caller leaves.
     void caller_left(caller_token token, time_point now);
-    // Number of jobs of the queue that are accepted and have not begun, at all entries.
+    // Number of durable jobs of the queue, at all entries, that are accepted and have not started.
     std::uint64_t pending(const std::string& queue) const;
 
-    // Connections. One that this process dialed leads to another entry.
+    // Connections. A connection that this process dialed leads to another entry.
     void link_opened(link_number link, bool is_dialed, time_point now);
     void link_closed(link_number link);
     void received(link_number link, const work_message& message, time_point now, wall_time wall);
@@ -69,10 +70,12 @@
 
     // Whether new connections should be opened to this entry.
     bool is_ready() const;
-    // Refuses new kept jobs from refuse_at on, and the other new jobs once the entry leaves its session. It
-    // leaves when all jobs have ended, or at hand_over_at, when open jobs are handed to the other entries.
+    // Refuses new durable jobs from refuse_at on, and new non-durable jobs from hand_over_at on or once the
+    // entry leaves its session. After refuse_at the entry leaves its session when all jobs have ended, at
+    // hand_over_at at the latest. Jobs that are open then are handed over to the other entries.
     void begin_shutdown(time_point refuse_at, time_point hand_over_at, time_point now);
-    // Answers all callers that still wait; called right before the process exits.
+    // Answers all callers that still wait, with an uncertain outcome, and stops the runs of their non-durable
+    // jobs. Called right before the process exits.
     void answer_all();
     bool has_left() const { return keeper_.has_left(); }
     bool is_shutting_down() const { return is_shutting_down_; }
@@ -81,19 +84,21 @@
     const member_directory& members() const { return keeper_.members(); }
     std::size_t connected_agents() const;
     std::size_t open_jobs() const { return ledger_.jobs().size(); }
-    // Connected entries and their links.
+    // Links to the connected entries, by name.
     std::map<std::string, link_number> peers() const;
 
 private:
+    // A connected entry and its number of pending jobs by queue.
     struct peer_state {
         std::string name;
         incarnation session;
         std::map<std::string, std::uint64_t> counts;
     };
 
+    // The component that made a call to the store and gets the reply.
     enum class store_user : std::uint8_t { commits, keeper, locator, operators, orphans };
 
-    // Messages.
+    // Messages, by type.
     void receive(link_number link, const agent_profile& profile, time_point now);
     void receive(link_number link, const view_ping& ping, time_point now);
     void receive(link_number link, const run_reports& message, time_point now);
@@ -130,7 +135,7 @@
     void note_end(const ledger_job& job, time_point now);
     void drop_unkept(const job_id& id, time_point now);
     void drop_expired(time_point now);
-    // Refuses a job that waits for its first placement. Does nothing if the job is kept or was placed.
+    // Refuses a non-durable job of which no task has been placed yet. Does nothing for other jobs.
     void refuse_waiting(ledger_job& job, std::string_view reason, time_point now);
     const incarnation& owner_of(const ledger_job& job) const;
     void write_progress(time_point now);
@@ -190,24 +195,27 @@
 
     std::map<link_number, peer_state> peers_;
     ended_jobs ended_;
-    // Callers waiting for the acceptance of a job, and for its end.
+    // Callers that wait for the acceptance of a job, and callers that wait for its end.
     waiting_callers accepting_;
     waiting_callers ending_;
     orphan_runs orphans_;
-    // Numbers of the ends to be acknowledged, by agent and life of its backend server.
+    // Numbers of the recorded ends of runs to acknowledge, by agent and life of its backend server.
     std::map<std::pair<agent_number, std::uint64_t>, std::vector<std::uint64_t>> acknowledgements_;
 
     std::uint64_t last_store_id_ = 0;
+    // Calls to the store without a reply: who made each one, and the maker's own id of it.
     std::map<std::uint64_t, std::pair<store_user, std::uint64_t>> store_ids_;
     wall_time wall_{};
     time_point last_count_{};
     std::map<std::string, std::uint64_t> sent_counts_;
     std::uint64_t sent_config_revision_ = 0;
-    // Entry addresses last sent to the agents, and the version of the members that they are from.
+    // Entry addresses last sent to the agents, and the last version of the members that was checked for
+    // changed addresses.
     std::vector<std::string> sent_addresses_;
     std::uint64_t sent_members_version_ = 0;
     bool is_plan_needed_ = false;
-    // Time has passed, the store has replied, or the members have changed, so sessions have to be updated.
+    // The sessions must be updated, because time has passed, the store has replied, connections have changed,
+    // or an adoption has made progress.
     bool is_session_update_needed_ = true;
     bool is_shutting_down_ = false;
     time_point refuse_at_ = time_point::max();
--- a/coordination/entry_jobs.cpp
+++ b/coordination/entry_jobs.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Retry delay for refused callers if no better estimate is available.
+// Delay after which refused callers should retry, if there is no better estimate.
 constexpr milliseconds default_retry_delay{1000};
 
 } // namespace
@@ -50,7 +50,7 @@
     }
 }
 
-// Records the progress of open jobs, so that the ends of their runs can be acknowledged.
+// Writes the progress of open jobs to the store, so that the ends of their runs can be acknowledged.
 void entry_core::write_progress(time_point now) {
     for (auto& [id, job] : ledger_.jobs()) {
         if (job.phase != job_phase::open || job.unrecorded.empty() || job.is_progress_written ||
@@ -89,7 +89,7 @@
     if (result.outcome != commit_outcome::durable)
         return;
     job->revision = result.revision;
-    // Ends reported after the record was created are covered by the next one.
+    // The record does not contain ends that were reported after its creation. The next record will.
     std::vector<unacknowledged_end> later;
     for (const unacknowledged_end& end : job->unrecorded) {
         if (end.reported <= job->progress_made)
@@ -107,7 +107,7 @@
     if (job == nullptr)
         return;
     if (job->phase != job_phase::accepting) {
-        // The job was adopted meanwhile, so it is accepted whatever the outcome of this write.
+        // The job was adopted meanwhile. So it is accepted, whatever the outcome of this write.
         for (const waiting_caller& caller : callers)
             reply(caller.token, caller_reply_kind::accepted, job->state);
         return;
--- a/coordination/entry_limits.h
+++ b/coordination/entry_limits.h
@@ -5,38 +5,41 @@
 
 namespace persimmonstile {
 
-// Timeouts, intervals and factors of an entry.
+// Timeouts, intervals and other parameters of an entry.
 struct entry_limits {
     // Maximum lease of a run on a backend server; a setting of the platform.
     milliseconds longest_run_lease{1000};
-    // Time after the last lease renewal by which a run has ended. Adds 2% for clock drift, and a margin for
-    // the delivery of that renewal.
+    // Time after the last lease renewal by which a run has certainly ended: the lease, 2% of it for clock
+    // drift, and a margin for the delivery of the renewal.
     milliseconds run_lease_bound() const {
         constexpr milliseconds margin{150};
         return longest_run_lease + longest_run_lease / 50 + margin;
     }
-    // Time after which callers resubmit their jobs if the connection broke; a setting of the platform.
+    // Delay after which callers resubmit their jobs when a connection broke; a setting of the platform.
     milliseconds caller_resend = default_caller_resend_delay;
-    // Time within which an operators' change must be in force; a setting of the platform.
+    // Maximum time until a change by the operators is in force; a setting of the platform.
     milliseconds config_bound{2000};
-    // Factor by which a task runs longer on another rack than on that of its data; a setting of the platform.
+    // Factor by which the run time of a task grows on a rack other than that of its data; a setting of the
+    // platform.
     double remote_data_factor = 1.5;
-    // How long ended jobs are kept; a setting of the platform.
+    // How long ended jobs are retained; a setting of the platform.
     milliseconds retention{150000};
-    // After this time without contact to the store, an entry no longer counts as the owner of its jobs.
-    // Longer than the outages that the platform announces, because no entry can adopt jobs during those.
+    // An entry without contact to the store for this long no longer counts as the owner of its jobs. Longer
+    // than the store outages that the platform announces, because no entry can adopt jobs during an outage.
     milliseconds store_contact_timeout{6000};
-    // Ends of runs are recorded with the end of their job, or after this time.
+    // The ends of runs are recorded with the job's progress after this time, or with the job's end if it
+    // comes first.
     milliseconds progress_delay{1000};
-    // Interval at which entries exchange their counts of pending jobs.
+    // Minimum interval at which an entry sends changed counts of pending jobs to the others. A new
+    // configuration is announced to them at once.
     milliseconds count_interval{400};
-    // A caller that queries a job whose end is being written is answered once it is written, but after this
-    // time at the latest.
+    // A caller that queries a job whose end is being written is answered when the write is done, but after
+    // this time at the latest.
     milliseconds end_commit_wait{200};
-    // An agent that refused a run gets no other run for this long. The state update that explains the refusal
-    // arrives within this time.
+    // An agent that refused a run gets no other run for this long. Within this time its state update arrives,
+    // which shows why it refused.
     milliseconds refusal_pause{20};
-    // New jobs that need the store are refused once it has been failing for this long.
+    // Durable jobs are refused once writes to the store have failed for this long.
     milliseconds store_failure_timeout{300};
 };
 
--- a/coordination/entry_output.h
+++ b/coordination/entry_output.h
@@ -22,7 +22,7 @@
     milliseconds timeout{0};
 };
 
-// The actions that an entry takes after an event.
+// What an entry sends, replies, logs and measures in response to events.
 struct entry_output {
     std::vector<store_request> store_calls;
     std::vector<std::pair<link_number, work_message>> messages;
--- a/coordination/entry_sessions.cpp
+++ b/coordination/entry_sessions.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-// Size of the range of run numbers of one owner of a job; the range of its successor follows.
+// Size of the range of run numbers that one owner of a job may use. The range of its successor follows.
 constexpr run_number runs_per_owner = 1'000'000;
 
 } // namespace
 
-// Applies the changes that the session keeper reports: a session has begun or was lost, other entries joined
+// Handles the changes that the session keeper reports: a session was begun or lost, other entries have joined
 // or left, jobs were adopted.
 void entry_core::update_sessions(time_point now) {
     std::set<incarnation> connected;
@@ -82,15 +82,15 @@
             const ledger_job* known = ledger_.find(id);
             if (record == nullptr || (known != nullptr && known->phase != job_phase::accepting))
                 continue;
-            // The caller has resubmitted the job. The store will refuse that acceptance, since the job is
-            // already accepted and is adopted here.
+            // If the job is being accepted here, its caller has resubmitted it. The store will reject that
+            // acceptance, because the job is stored already. The adopted job replaces it.
             ledger_.erase(id);
             ledger_job& job = ledger_.add(id, std::make_shared<open_job>(*record), former,
                                           adopted.record.succession_count * runs_per_owner, now);
             job.phase = job_phase::open;
             job.revision = item.revision;
             job.is_settled = false;
-            // The time before the adoption counts towards the caller's waiting time.
+            // The job's time before the adoption counts as waiting time of its caller.
             const milliseconds age{
                 std::clamp<std::int64_t>(unix_time_ms(wall_) - record->accepted_ms, 0, 600000)};
             job.accepted = now - age;
@@ -109,8 +109,8 @@
         found->second.unanswered.erase(agent);
 }
 
-// A session that had adopted the jobs and is now adopted itself may have started runs of them. Its adoption
-// has a smaller depth and must be settled first; all of them are adopted together.
+// A session that adopted these jobs and is now adopted itself may have started runs of them. Its adoption has
+// a smaller depth and must be settled before this one. All of them are adopted together.
 bool entry_core::may_settle(const succession& state, time_point now) const {
     const bool is_waiting = std::any_of(successions_.begin(), successions_.end(), [&](const auto& other) {
         return !other.second.is_settled &&
@@ -125,7 +125,7 @@
         succession& state = it->second;
         if (!state.is_settled && may_settle(state, now)) {
             state.is_settled = true;
-            // Other successions may have been waiting for this one.
+            // Other successions may wait for this one.
             is_session_update_needed_ = true;
             note("runs of a former session are settled", {},
                  {{"former", session_text(it->first)},
--- a/coordination/job_course.h
+++ b/coordination/job_course.h
@@ -11,9 +11,9 @@
 
 struct ledger_job;
 
-// Summarizes a job for a log line that explains a failed or late request: its queue, the time since its
-// acceptance and until its first placement in microseconds (placed_us is left out if there was none), the
-// number of tasks and of those done, and the number of runs and of those that failed.
+// Summarizes a job as log fields that explain a failed or late request: its queue, the microseconds from its
+// arrival until now and until its first placement, its number of tasks and of tasks done, and its number of
+// runs and of failed runs. Without a placement, placed_us is left out.
 std::vector<std::pair<std::string_view, decision::value>> summarize_job(const ledger_job& job,
                                                                         time_point now);
 
--- a/coordination/job_ledger.cpp
+++ b/coordination/job_ledger.cpp
@@ -80,14 +80,14 @@
     if (task == nullptr || task->phase == task_phase::done)
         return report_effect::nothing;
     const run_number run = report.run.run;
-    // A run that this owner did not start was started by a deposed owner; the newest run counts.
+    // This owner did not start the run, so a deposed owner did. The newest run of a task counts.
     if (task->phase == task_phase::waiting && run > task->run) {
         task->run = run;
         task->agent = agent;
         set_phase(job, *task, task_phase::placed);
         task->placed = now;
     }
-    // A run that was presumed lost may have succeeded before its lease expired.
+    // The run was presumed lost, but it succeeded before its lease expired.
     if (report.state == run_state::done && run == task->run && task->phase == task_phase::waiting)
         set_phase(job, *task, task_phase::running);
     if (run != task->run || task->agent != agent ||
--- a/coordination/job_ledger.h
+++ b/coordination/job_ledger.h
@@ -14,14 +14,14 @@
 namespace persimmonstile {
 
 // The effect of a report on a task.
-//   nothing   not about the task's newest run, or nothing new
-//   started   the run was confirmed
-//   done      the task is done
-//   failed    the run failed through its own fault or the backend server's
-//   waiting   the run ended without a result and the task may run again
+//   nothing   the report is not about the task's newest run, or contains nothing new
+//   started   the run has started
+//   done      the run succeeded, so the task is done
+//   failed    the run failed through its own fault or the backend server's; the task waits again
+//   waiting   the run ended without a result; the task waits again
 enum class report_effect : std::uint8_t { nothing, started, done, failed, waiting };
 
-// Holds the jobs that an entry owns and the state of their tasks as known from the agents' reports.
+// Holds the jobs that an entry owns, and the state of their tasks according to the agents' reports.
 class job_ledger {
 public:
     // The job must be unknown.
@@ -31,27 +31,27 @@
     void erase(const job_id& job);
     void clear();
 
-    // Null if the job has no such task.
+    // Returns null if the job has no such task.
     static ledger_task* find_task(ledger_job& job, const task_ref& task);
 
-    // Changes the phase of a task of the job.
+    // Changes the phase of a task and updates the job's count of waiting tasks.
     static void set_phase(ledger_job& job, ledger_task& task, task_phase phase);
     // Applies an agent's report on a run to its task.
     static report_effect take_report(ledger_job& job, const run_report& report, agent_number agent,
                                      time_point now);
 
-    // Whether the tasks of the step may run: the steps it depends on are done.
+    // Whether all steps on which the step depends are done, so that its tasks may run.
     static bool is_ready(const ledger_job& job, const ledger_occurrence& occurrence, std::uint32_t step);
-    // Calls visit for each waiting task that may be placed.
+    // Calls visit for each waiting task that may be placed now.
     static void for_each_placeable(
         ledger_job& job,
         const std::function<void(const task_ref& task, const job_step& step, ledger_task& state)>& visit);
     static std::uint32_t count_placeable(ledger_job& job);
 
-    // Begins the occurrences that are due at this calendar time. Returns whether there was one.
+    // Starts the occurrences that are due at this Unix time in milliseconds. Returns whether there was one.
     static bool begin_due(ledger_job& job, std::int64_t unix_time_ms);
 
-    // Returns a copy of the record with the progress so far.
+    // Returns a copy of the job's record with the current progress.
     static std::shared_ptr<const open_job> record_with_progress(const ledger_job& job);
 
     std::unordered_map<job_id, ledger_job>& jobs() { return jobs_; }
--- a/coordination/job_record.h
+++ b/coordination/job_record.h
@@ -19,7 +19,7 @@
 // The state of a task as the owner of its job knows it.
 enum class task_phase : std::uint8_t { waiting, dispatched, done };
 
-// One task of a job at its owner; agent and attempt belong to the latest dispatch.
+// One task of a job at its owner. agent and attempt are those of the latest dispatch.
 struct owned_task {
     task_phase phase = task_phase::waiting;
     std::uint32_t attempt = 0;
@@ -34,7 +34,7 @@
 //   ended      the outcome is final
 enum class job_phase : std::uint8_t { admitting, querying, running, ended };
 
-// One job at its owner, retained until the deduplication window after its end has passed.
+// The state of a job at its owner. It is retained after the job's end for the deduplication window.
 struct job_record {
     std::shared_ptr<const job_spec> spec;
     std::string traceparent;
@@ -47,11 +47,11 @@
     time_point ended;
     std::vector<owned_task> tasks;
     std::size_t done_count = 0;
-    // Outstanding tasks for each agent.
+    // Number of dispatched tasks that have not ended, by agent.
     std::map<incarnation, std::uint32_t> outstanding;
-    // Agents that have not answered query_job yet, and whether any agent reported that it had accepted a
-    // task.
+    // Agents that have not answered query_job yet.
     std::set<incarnation> unanswered;
+    // An agent has answered that it accepted a task of the job.
     bool found_by_query = false;
     std::vector<caller_token> callers;
     std::optional<job_outcome> outcome;
--- a/coordination/late_job_patience.cpp
+++ b/coordination/late_job_patience.cpp
@@ -4,14 +4,16 @@
 
 namespace {
 
-// Late jobs are refused after they have been passed over for this long: about twice the latency objective of
-// the shortest jobs (156 ms), so that short bursts, after which they can still be served, refuse hardly any.
+// Late jobs are refused after they have been passed over for this long. About twice the latency objective of
+// the shortest jobs (156 ms), so that hardly any job is refused in a short burst, after which it can still be
+// served.
 constexpr milliseconds refusal_delay{300};
 
-// Minimum number of other runs started meanwhile; fewer can be chance, or a sign of a stall.
+// Minimum number of runs of other jobs that have started meanwhile. Fewer can be chance, or a sign of a
+// stall.
 constexpr std::size_t min_other_starts = 8;
 
-// The overload has ended if no late job was passed over for this long.
+// If late jobs were not passed over for this long, the earlier overload has ended.
 constexpr milliseconds reset_interval{500};
 
 } // namespace
--- a/coordination/late_job_patience.h
+++ b/coordination/late_job_patience.h
@@ -7,16 +7,17 @@
 
 namespace persimmonstile {
 
-// Decides how long jobs that will be late wait for capacity. After a stall of the backend servers capacity
-// returns and they are served late. Under load beyond capacity, all of it goes to jobs that can still be in
-// time, and waiting only delays the refusal. The two cases differ in whether other jobs start meanwhile.
+// Decides when waiting jobs of a service that can only end late are refused. After a stall of the backend
+// servers, capacity returns and late jobs can still be served. Under overload, all capacity goes to jobs that
+// can still end in time, and waiting only delays the refusal. The two cases are told apart by the number of
+// other jobs' runs that start meanwhile.
 class late_job_patience {
 public:
-    // A late job was placed, or none is waiting.
+    // A plan has placed a late job, so the late jobs are served.
     void served() { starved_since_.reset(); }
-    // A plan placed no late job but started other_starts runs of other jobs.
+    // Late jobs are waiting and a plan placed none of them, but started other_starts runs of other jobs.
     void passed_over(std::size_t other_starts, time_point now);
-    // Whether late jobs that cannot be placed are to be refused at once.
+    // Whether late jobs that cannot be placed now should be refused.
     bool is_over(time_point now) const;
 
 private:
--- a/coordination/ledger_job.h
+++ b/coordination/ledger_job.h
@@ -14,14 +14,14 @@
 
 namespace persimmonstile {
 
-// The state of a job's records in the store.
-//   accepting  its record is being written; nothing may start
-//   open       its record is in the store
-//   ending     its end is being written
-//   ended      its end is in the store
+// The state of a job's records in the store. A non-durable job is open from its acceptance on.
+//   accepting  the record is being written; no task may start
+//   open       the record is in the store
+//   ending     the end is being written
+//   ended      the end is in the store
 enum class job_phase : std::uint8_t { accepting, open, ending, ended };
 
-// A reported end of a run, to be acknowledged once its effect on the job is in the store.
+// The reported end of a run. It is acknowledged once its effect on the job is in the store.
 struct unacknowledged_end {
     agent_number agent = 0;
     std::uint64_t backend_life = 0;
@@ -32,7 +32,7 @@
 // The tasks of one occurrence of a job, by step.
 struct ledger_occurrence {
     std::vector<std::vector<ledger_task>> steps;
-    // Tasks of each step that are not done.
+    // Number of tasks of each step that are not done.
     std::vector<std::uint32_t> remaining;
 };
 
@@ -40,33 +40,35 @@
 struct ledger_job {
     job_id id;
     std::shared_ptr<const open_job> record;
-    // Deadline of the reply to the caller of a job that is not kept.
+    // Time by which a non-durable job must end, because its last caller then gets a reply.
     time_point answer_by = time_point::max();
-    // Session under which the record is kept.
+    // Session under which the record is stored.
     incarnation keeper;
     std::uint64_t revision = 0;
-    // The run numbers of this owner are greater than this.
+    // The runs of this owner have greater numbers. Runs up to this number belong to earlier owners.
     run_number run_base = 0;
     job_phase phase = job_phase::accepting;
-    // All runs that a deposed owner may have started are known or have certainly ended. No task may be placed
+    // Each run that a deposed owner may have started is known or has certainly ended. No task may be placed
     // before that.
     bool is_settled = true;
     // Final once the end has been decided.
     job_state state = job_state::queued;
-    // When a task was first sent to an agent; the job may have started since.
+    // When a task was first sent to an agent. The job may have started running at any time since.
     std::optional<time_point> first_placed;
-    // A task has started.
+    // A run of a task has started.
     bool has_begun = false;
     std::map<std::uint32_t, ledger_occurrence> occurrences;
-    // Tasks waiting to be placed, including those of steps that are not ready.
+    // Number of tasks in phase waiting, including those whose step is not ready.
     std::uint32_t waiting_tasks = 0;
-    // Occurrences that are done or running; later ones are not due yet.
+    // Number of the first occurrence that has not begun yet, because it is not due.
     std::uint32_t next_occurrence = 0;
+    // Occurrences that have not ended, including those that have not begun.
     std::uint32_t occurrences_left = 0;
     std::vector<unacknowledged_end> unrecorded;
-    // A record with progress is being written; progress_made is when it was created.
+    // A record with progress is being written. progress_made is the time at which it was created.
     bool is_progress_written = false;
     time_point progress_made{};
+    // When the job arrived at this entry. For an adopted job, when it was first accepted.
     time_point accepted{};
     time_point ended{};
 
--- a/coordination/ledger_task.h
+++ b/coordination/ledger_task.h
@@ -10,8 +10,8 @@
 namespace persimmonstile {
 
 // The phase of a task as the owner of the job knows it.
-//   waiting    may be placed once its step is ready
-//   placed     sent to an agent
+//   waiting    has no run; may be placed once its step is ready
+//   placed     sent to an agent, not known to run
 //   running    the agent has confirmed the start
 //   done       ended with success
 enum class task_phase : std::uint8_t { waiting, placed, running, done };
@@ -22,15 +22,15 @@
 // The state of one task at the owner of its job.
 struct ledger_task {
     task_phase phase = task_phase::waiting;
-    // The newest run; 0 before the first one.
+    // Number of the newest run; 0 before the first one.
     run_number run = 0;
-    // Agent of the newest run, while it is placed or running.
+    // Agent of the newest run, valid while the task is placed or running.
     agent_number agent = 0;
     std::uint32_t failures = 0;
     time_point placed{};
     time_point started{};
     std::string checkpoint;
-    // Agents where a run of the task was unsuccessful; others are preferred.
+    // Agents where a run of the task did not succeed. Other agents are preferred.
     std::vector<agent_number> avoided;
     // The run is being stopped so that the task can run elsewhere.
     bool is_moving = false;
--- a/coordination/overload_detector.h
+++ b/coordination/overload_detector.h
@@ -6,33 +6,37 @@
 
 // Thresholds for detecting that a process has more work than its processor can handle.
 struct overload_limits {
-    // If all timers are late by this much, events are queuing up. Far above the time of a single event, and
-    // a fraction of the callers' shortest latency objective.
+    // A timer that is late by this much counts as late: events are queuing up. Far above the time of a single
+    // event, and a fraction of the callers' shortest latency objective.
     milliseconds late{40};
-    // All timers must be late for this long before the process is overloaded. Longer than any single work
+    // The process is overloaded once all timers have been late for this long. Longer than any single work
     // item.
     milliseconds detection_time{250};
-    // Recovery time after an overload. Doubles, up to the maximum, each time the overload recurs too soon.
+    // Recovery time after an overload. Doubles, up to the maximum, each time the overload recurs within
+    // repeat_window.
     milliseconds min_recovery{2000};
     milliseconds max_recovery{8000};
-    // An overload that begins this long after the last one ended is treated as unrelated.
+    // An overload that begins this long after the last one ended has another cause, so the recovery time
+    // starts from its minimum again.
     milliseconds repeat_window{15000};
 };
 
-// Detects from late timers that a process is overloaded and should receive less load. A queue that drains now
-// and then is normal; one that persists means that work arrives faster than it is handled. After an overload
-// the process stays marked for a recovery time (hysteresis), so that the state does not oscillate.
+// Detects from late timers that a process is overloaded and should receive less load. An event queue that
+// drains now and then is normal. A queue that persists means that work arrives faster than it is handled.
+// After an overload the process still counts as overloaded for a recovery time (hysteresis), so that the
+// state does not oscillate.
 class overload_detector {
 public:
     explicit overload_detector(const overload_limits& limits = {})
         : limits_{limits} {}
 
-    // A timer that was due at the time `due` has fired.
+    // Reports that a timer that was due at `due` has fired.
     void timer_fired(time_point due, time_point now);
 
     bool is_overloaded() const { return is_overloaded_; }
 
 private:
+    // Begins an overload or, if there is one, restarts its recovery time.
     void begin(time_point now);
 
     overload_limits limits_;
--- a/coordination/run_table.h
+++ b/coordination/run_table.h
@@ -8,19 +8,19 @@
 
 namespace persimmonstile {
 
-// Holds the runs that an agent knows and keeps the sums of their resource needs.
+// Holds the runs that an agent knows and maintains the sums of their resource needs.
 class run_table {
 public:
     run_record* find(const run_ref& run);
-    // The run must be unknown.
+    // The run must not be in the table.
     run_record& add(run_record record);
     void set_state(run_record& record, run_state state);
     void erase(const run_ref& run);
 
-    // Needs of the runs that hold room, and of those that wait for it.
+    // Needs of the runs that use capacity, and of the queued runs, which wait for capacity.
     const resources& held() const { return held_; }
     const resources& queued() const { return queued_; }
-    // Runs that hold room.
+    // Number of runs that use capacity.
     std::size_t active_count() const { return active_count_; }
     std::size_t size() const { return records_.size(); }
 
@@ -28,6 +28,7 @@
     void for_each(const std::function<void(run_record&)>& visit);
 
 private:
+    // Adds the run to the sums (sign 1) or subtracts it (sign -1).
     void count(const run_record& record, std::int64_t sign);
 
     std::map<run_ref, run_record> records_;
--- a/coordination/submission.h
+++ b/coordination/submission.h
@@ -11,7 +11,7 @@
 
 namespace persimmonstile {
 
-// A job submission that passed the syntax checks. idempotent and default_deadline_ms come from the
+// A submitted job that has passed the syntax checks. idempotent and default_deadline_ms come from the
 // configuration.
 struct submission {
     job_id job;
--- a/coordination/waiting_callers.h
+++ b/coordination/waiting_callers.h
@@ -10,27 +10,27 @@
 
 namespace persimmonstile {
 
-// A caller that waits for a job's acceptance or end.
+// A caller that waits for the acceptance or the end of a job.
 struct waiting_caller {
     caller_token token = 0;
-    // Deadline of the reply; the caller then gets the state known so far.
+    // Time by which the caller gets a reply, with the state known by then.
     time_point answer_by{};
     // The caller asked for the job to be cancelled.
     bool is_cancellation = false;
 };
 
-// Holds the waiting callers of each job until they are answered, expire or leave.
+// Holds the waiting callers of each job until they are answered, time out or leave.
 class waiting_callers {
 public:
     void add(const job_id& job, const waiting_caller& caller) { callers_[job].push_back(caller); }
 
     // Removes and returns all callers of the job.
     std::vector<waiting_caller> take(const job_id& job);
-    // Removes and returns all expired callers, with their jobs.
+    // Removes and returns all callers whose deadline has passed, with their jobs.
     std::vector<std::pair<job_id, waiting_caller>> take_expired(time_point now);
     std::vector<std::pair<job_id, waiting_caller>> take_all();
 
-    // Removes one caller. Returns its job, or empty if it does not wait here.
+    // Removes a caller. Returns the job that it waited for, or empty if it is not known.
     std::optional<job_id> remove(caller_token token);
 
     bool has_callers(const job_id& job) const { return callers_.contains(job); }
