--- a/coordination/admission.cpp
+++ b/coordination/admission.cpp
@@ -9,14 +9,16 @@
 
 // Agents connect within a second of their start, and a new entry learns of them within that time.
 constexpr std::chrono::milliseconds not_yet_known_retry{200};
-// Backend servers that have left return only after a restart or an operator's action.
+// A backend server that has left returns only after a restart or an operator's action, so this delay is
+// longer.
 constexpr std::chrono::milliseconds none_left_retry{2000};
 
 constexpr std::chrono::milliseconds min_retry_delay{100};
 constexpr std::chrono::milliseconds max_retry_delay{30000};
 
-// A team may use up to this multiple of the free queue capacity. One team alone can hold 80% of the queue,
-// and k teams together 4k/(4k+1). A team with an empty queue always finds capacity.
+// A team's waiting tasks may be up to this multiple of the free queue capacity. So one team alone can fill
+// 80% of the queue, and k teams together 4k/(4k+1). Some capacity is always left for a team with no waiting
+// tasks.
 constexpr double team_queue_factor = 4;
 
 job_failed refuse(std::string detail, std::chrono::milliseconds retry_after, bool is_at_capacity) {
@@ -36,8 +38,8 @@
 // Upper bound on the time until the last task of the job starts, in seconds.
 double expected_wait(const admission_load& load, std::size_t tasks) {
     const double rate = std::max(load.rate, 1e-9);
-    // Smaller jobs that arrive later overtake the job while it waits, but only up to the limit
-    // max_overtaking_factor.
+    // Smaller jobs that arrive later use part of the rate while the job waits. max_overtaking_factor limits
+    // the time for which they can do so.
     const double undisturbed = wait_without_overtaking(load, tasks);
     const double while_waiting = undisturbed / (1 - std::min(load.smaller_job_fraction, 0.99));
     const double passing = load.max_overtaking_factor * static_cast<double>(tasks) / rate;
--- a/coordination/admission.h
+++ b/coordination/admission.h
@@ -12,23 +12,29 @@
 
 namespace persimmonstile {
 
-// State of the backend servers of a job's service, as far as this entry knows it.
+// Whether any backend server of a service accepts tasks, as far as this entry knows.
+// serving        at least one does
+// none_left      there was one before, but none accepts tasks now
+// not_yet_known  no agent has offered the service since this entry started
 enum class service_presence : std::uint8_t { serving, none_left, not_yet_known };
 
-// Load of a service when a job arrives. Times are in seconds, rates in tasks per second for this entry.
+// Load of a service when a job arrives. Times are in seconds, rates in tasks per second of this entry.
 struct admission_load {
-    // Waiting tasks of the service, those of the job's team, and those of the team that run before the job.
+    // Waiting tasks of all teams.
     std::size_t service_waiting = 0;
+    // Waiting tasks of the job's team.
     std::size_t team_waiting = 0;
+    // Expected number of the team's waiting tasks that run before the job.
     double team_ahead = 0;
+    // Tasks of mean run time that this entry can complete per second.
     double rate = 0;
     // Minimum fraction of the rate that the team gets while all teams with waiting jobs compete.
     double team_fraction = 1;
     // Maximum rate of the team because of max_running; 0 if there is no limit.
     double team_rate_limit = 0;
-    // Fraction of the rate that smaller jobs use, and for how long they may overtake the job. The latter is a
-    // multiple of the time that the job takes alone.
+    // Fraction of the rate that smaller jobs use.
     double smaller_job_fraction = 0;
+    // Smaller jobs that arrive within this multiple of the time that the job takes alone may overtake it.
     double max_overtaking_factor = 0;
     // Mean run time of tasks of the job's class; 0 while there are too few samples.
     double run_seconds = 0;
@@ -36,11 +42,11 @@
     bool shares_queue = false;
 };
 
-// Refuses a job that can never run, or that cannot run until an agent connects.
+// Refuses a job that can never run, or for which no backend server is available at present.
 std::optional<job_failed> check_runnable(const fleet_view* fleet, const job_spec& spec,
                                          service_presence presence);
 
-// Refuses a job that exceeds the free capacity of the queue.
+// Refuses a job that exceeds the free capacity of the queue or the team's part of it.
 std::optional<job_failed> check_queue(const admission_load& load, std::uint32_t queue_limit,
                                       std::size_t tasks);
 
--- a/coordination/admission_job_mix.h
+++ b/coordination/admission_job_mix.h
@@ -7,7 +7,7 @@
 
 namespace persimmonstile {
 
-// Distribution of the tasks of recent jobs over the size classes.
+// Tracks how the tasks of recent jobs are distributed over the size classes of fair_queue.
 class admission_job_mix {
 public:
     void add(std::size_t size_class, std::size_t tasks) {
@@ -29,8 +29,8 @@
     }
 
 private:
-    // The counts are halved at this total. It is some tens of the largest jobs, so that a single job has
-    // little effect on the distribution.
+    // All counts are halved when their sum reaches this number. It is some tens of times the size of the
+    // largest jobs, so that a single job has little effect on the distribution.
     static constexpr double decay_threshold_tasks = 20000;
 
     std::array<double, fair_queue::size_classes> counts_{};
--- a/coordination/admission_retry_budget.h
+++ b/coordination/admission_retry_budget.h
@@ -12,7 +12,7 @@
 // overloaded system.
 class admission_retry_budget {
 public:
-    // Every assigned task earns a tenth of a retry.
+    // Adds the retries earned by assigned tasks: a tenth of a retry for each task.
     void earn(std::uint32_t tasks) { tokens_ = std::min(tokens_ + tasks * retries_per_task, reserve); }
 
     // Spends up to the given number of retries and returns how many were granted.
@@ -23,7 +23,7 @@
         return granted;
     }
 
-    // Latest time at which the next retry becomes available.
+    // Time by which a whole retry is available even if no more tasks are assigned, rounded up.
     time_point next_available() const {
         const double missing = std::max(0.0, 1 - tokens_);
         const std::chrono::duration<double> wait{missing / retries_per_second};
@@ -33,9 +33,10 @@
 
 private:
     static constexpr double retries_per_task = 0.1;
-    // Lets single refused tasks under low load be retried without waiting for other tasks.
+    // Under low load few tasks earn retries. This rate lets a single refused task be retried soon.
     static constexpr double retries_per_second = 2;
-    // Allows short bursts, such as the tasks of one agent that has just reached its capacity.
+    // Maximum number of saved retries. Allows short bursts, such as the refused tasks of one agent that has
+    // just reached its capacity.
     static constexpr double reserve = 20;
 
     void refill(time_point now) {
--- a/coordination/assignment.h
+++ b/coordination/assignment.h
@@ -8,8 +8,8 @@
 
 namespace persimmonstile {
 
-// Decision of the scheduler to send these waiting tasks of one job to this agent. revision is the revision of
-// the configuration in use; the dispatch contains it.
+// Decision of the scheduler to send some waiting tasks of one job to an agent. revision is that of the
+// configuration in use and is copied into the dispatch message.
 struct assignment {
     job_id job;
     incarnation agent;
--- a/coordination/fair_queue.cpp
+++ b/coordination/fair_queue.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// After this many tasks of single requests, one task of a waiting job of the team is taken. So a flood of
-// requests cannot starve jobs: they get every fifth task.
+// After this many single requests of a team, one task of its waiting jobs is taken. Jobs thus get at least
+// every fifth task, and a flood of requests cannot starve them.
 constexpr std::uint32_t requests_per_job_task = 4;
 
-// Middle of the range of job sizes in a class.
+// Middle of the range of job sizes in a class: class k holds jobs of 2^(k-1) to 2^k - 1 tasks.
 double typical_size(std::size_t size_class) {
     return size_class == 0 ? 1 : 0.75 * static_cast<double>(std::size_t{1} << size_class);
 }
@@ -45,7 +45,7 @@
         return;
     changed.active = active;
     if (active) {
-        // A team earns no credit for the time in which it had no waiting tasks.
+        // A team earns no credit for the time in which it was blocked or had no waiting tasks.
         changed.start = std::max(changed.start, virtual_time_);
         active_.emplace(changed.start, team);
         active_shares_ += changed.share;
--- a/coordination/job_actions.h
+++ b/coordination/job_actions.h
@@ -20,15 +20,15 @@
     task_message message;
 };
 
-// The answer for one waiting caller.
+// The reply for one waiting caller.
 struct caller_answer {
     caller_token token = 0;
     job_id job;
     job_reply reply;
 };
 
-// Tasks to be queued by the scheduler. A new job must pass admission. Returned tasks and tasks of a job that
-// has started are always queued.
+// Tasks that the scheduler has to queue. A new job must pass admission first. Tasks that are queued again,
+// and those of a job that may have started, need no admission.
 struct queue_request {
     job_id job;
     std::shared_ptr<const job_spec> spec;
@@ -37,14 +37,14 @@
     bool needs_admission = false;
 };
 
-// An agent has a free slot again; the report that freed it is included.
+// A task that no longer uses a slot of its agent, with the last report about it.
 struct returned_task {
     incarnation agent;
     job_id job;
     task_report report;
 };
 
-// A job has ended; for metrics and spans.
+// Summary of an ended job for metrics and trace spans.
 struct ended_job {
     job_id job;
     bool complete = false;
@@ -59,16 +59,17 @@
     std::vector<caller_answer> answers;
     std::vector<queue_request> queue;
     std::vector<returned_task> returned;
-    // True if the submission created a job, false if a job with the same id existed.
+    // True if the submission created a job. False if it was refused or a job with the same id existed.
     bool accepted = false;
     std::vector<ended_job> ended;
     // Jobs that were removed without an outcome, because they were refused or moved to another owner.
     std::vector<job_id> dropped;
     // Jobs whose waiting tasks the scheduler must drop.
     std::vector<job_id> withdrawn;
-    // Partitions that this entry lost; each handover goes to the new owner.
+    // One for each partition that this entry lost, to be sent to the new owner.
     std::vector<partition_handover> handovers;
-    // Reports that matched no outstanding task: late, duplicate, or crossed with another message.
+    // Number of reports that matched no outstanding task, because they were late or duplicate, or because
+    // they crossed with another message.
     std::size_t stray_reports = 0;
 };
 
--- a/coordination/job_event.h
+++ b/coordination/job_event.h
@@ -18,8 +18,8 @@
 
 namespace persimmonstile {
 
-// All events that a job table handles. Replaying recorded events gives the same actions. The index of an
-// alternative is its code in recorded files, so new alternatives are added at the end.
+// Any event that a job table handles. Replaying recorded events gives the same actions. Recorded files store
+// the index of the alternative, so new alternatives must be added at the end.
 using job_event = std::variant<submission, forward_lookup, caller_left, admission_decision, assignment,
                                task_reports, job_report, agent_presence, partition_gain, partition_loss,
                                clock_tick, agent_departure, partition_handover>;
--- a/coordination/job_locator.cpp
+++ b/coordination/job_locator.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-// An owner answers within a few milliseconds. After a timeout the store is read again, because the job may
-// have another owner by now.
+// An owner usually answers within a few milliseconds. After this timeout the store is read again, because the
+// job may have another owner by now.
 constexpr milliseconds answer_timeout{250};
 constexpr milliseconds retry_delay{60};
 
-// Maximum number of cached owners: the jobs of one entry in a day.
+// The cache is cleared when it holds this many owners, about as many as one entry has jobs in a day.
 constexpr std::size_t max_cached_owners = 20000;
 
 } // namespace
@@ -71,8 +71,9 @@
         return;
     }
     if (!owner) {
-        // The owner is gone and its jobs have not been adopted yet. The job was accepted, but whether it has
-        // started is unknown, so it is reported as queued.
+        // The owner is gone and no successor has adopted its jobs yet. The job was accepted, but it is
+        // unknown whether it has started, so it is reported as queued. A cancellation has to wait for the
+        // successor.
         if (pending.is_cancellation) {
             pending.again = now + retry_delay;
         } else {
--- a/coordination/job_locator.h
+++ b/coordination/job_locator.h
@@ -18,23 +18,24 @@
 
 namespace persimmonstile {
 
-// Answers callers that ask for jobs of other entries. It finds the owner in the store, sends it the question,
-// and forwards its answer.
+// Looks up and cancels jobs that another entry owns, for this entry's callers. It finds the owner in the
+// store, sends it the request, and forwards its answer to the caller.
 class job_locator {
 public:
+    // A read of the job's state from the store. The id is that of the lookup.
     struct read {
         std::uint64_t id = 0;
         job_id job;
     };
 
-    // A caller asks for the state of a job or for its cancellation.
+    // Starts a lookup for a caller that asks for the state of a job or for its cancellation.
     void ask(caller_token token, const job_id& job, bool is_cancellation, time_point answer_by,
              time_point now);
 
     void read_replied(std::uint64_t id, const store_reply& reply, const member_directory& members,
                       const incarnation& self, time_point now);
     void answered(const job_lookup_reply& answer, time_point now);
-    // Retries lookups that got no answer, and drops those whose callers no longer wait.
+    // Retries lookups that got no answer. Those past answer_by are dropped and answered as uncertain.
     void tick(time_point now);
 
     std::vector<read> take_reads() { return std::exchange(reads_, {}); }
@@ -43,7 +44,7 @@
         return std::exchange(questions_, {});
     }
     std::vector<caller_reply> take_replies() { return std::exchange(replies_, {}); }
-    // Lookups of jobs that turned out to belong to this entry.
+    // A lookup of a job that turned out to belong to this entry.
     struct own_job {
         caller_token token = 0;
         job_id job;
@@ -54,7 +55,7 @@
     std::optional<time_point> next_wakeup() const;
 
 private:
-    // A question of a caller that has not been answered yet.
+    // A pending question of a caller.
     struct lookup {
         caller_token token = 0;
         job_id job;
--- a/coordination/job_submission.h
+++ b/coordination/job_submission.h
@@ -8,7 +8,7 @@
 
 namespace persimmonstile {
 
-// A caller's request to run a job.
+// A caller's request to run a job in a queue.
 struct job_submission {
     caller_token token = 0;
     job_id job;
--- a/coordination/job_table.cpp
+++ b/coordination/job_table.cpp
@@ -16,8 +16,8 @@
 // Retry hint while the memory for ended jobs is exhausted. The oldest records expire within seconds.
 constexpr std::chrono::milliseconds memory_retry_hint{2000};
 
-// An old owner accepted ids up to max_clock_skew ahead of its own clock, which may itself differ by the
-// same amount.
+// A former owner accepted ids up to max_clock_skew ahead of its own clock, and its clock may differ from
+// ours by the same amount.
 constexpr std::chrono::milliseconds new_id_margin = 2 * max_clock_skew;
 
 constexpr std::size_t record_overhead_bytes = 512;
@@ -261,7 +261,7 @@
 
 job_actions job_table::apply(const partition_handover& handover, time_point, wall_time) {
     const auto owned = partitions_.find(handover.partition);
-    // Knowledge from before the preceding epoch has a gap.
+    // A handover from an earlier epoch lacks the jobs of the epochs between.
     if (owned == partitions_.end() || owned->second.epoch != handover.epoch + 1)
         return {};
     owned->second.is_first_epoch = handover.is_first_epoch;
@@ -329,7 +329,8 @@
     const auto found = jobs_.find(job);
     if (found != jobs_.end() && found->second.phase == job_phase::admitting)
         found->second.phase = job_phase::running;
-    // The job may have been cancelled or lost while the scheduler decided; its tasks must not stay queued.
+    // The job may have ended, or its partition may have been lost, while the scheduler decided. Its tasks
+    // must not stay queued.
     if (found == jobs_.end() || found->second.phase == job_phase::ended)
         actions.withdrawn.push_back(job);
 }
@@ -430,8 +431,8 @@
         ++actions.stray_reports;
         return;
     }
-    // A running task needs no action, and an agent that knows a newer epoch cannot say what happens to the
-    // task there.
+    // A running task needs no action. An agent that refuses a stale epoch does not say what the owner of the
+    // newer epoch does with the task.
     if (report.status == task_status::running || report.reason == refusal::stale_epoch)
         return;
     release(record, job, reports.agent);
@@ -502,9 +503,9 @@
     return actions;
 }
 
-// The answer may be late, from a connection that has been replaced. A task that it lists as running may have
-// ended since, and its report may be lost. Sending the dispatch again makes the agent repeat the report of an
-// ended task.
+// Sends the dispatch again for tasks that the agent lists as running. The answer may have arrived late over a
+// connection that has been replaced, so such a task may have ended and its report may be lost. A second
+// dispatch makes the agent repeat the report of an ended task.
 void job_table::confirm_adopted(const job_report& report, const job_record& record, time_point now,
                                 job_actions& actions) const {
     std::vector<task_index> adopted;
@@ -558,7 +559,7 @@
         return;
     }
     const std::vector<task_index> waiting = waiting_tasks(record);
-    // No agent has seen the job, so it is treated like a new one and may still be refused as not_run.
+    // If no agent knows the job, it is treated like a new one and may still be refused as not_run.
     const bool untouched = !record.found_by_query;
     record.phase = untouched ? job_phase::admitting : job_phase::running;
     if (!waiting.empty())
@@ -653,7 +654,7 @@
     retained_bytes_ += record.retained_bytes;
     --active_jobs_;
     ended_order_.emplace_back(now, job);
-    // Only the digest is needed from now on, to recognise a resubmission.
+    // From now on only the service and the digest are needed; the digest detects a conflicting resubmission.
     auto digest_only = std::make_shared<job_spec>();
     digest_only->service = record.spec->service;
     digest_only->digest = record.spec->digest;
--- a/coordination/job_table.h
+++ b/coordination/job_table.h
@@ -17,17 +17,18 @@
 
 namespace persimmonstile {
 
-// Keeps the jobs of one shard of an owner: deduplication, task states and outcomes. It decides whether a task
-// may be dispatched; the scheduler decides when and where. It is deterministic and does no I/O; the caller
-// holds the shard's lock. Calls for a partition that the shard does not own are answered with
-// job_wrong_owner.
+// Keeps the jobs of one shard of an owner. It deduplicates submissions, tracks the tasks, and retains the
+// outcomes. It decides whether a task may be dispatched; the scheduler decides when and where. It is
+// deterministic and does no I/O; the caller holds the shard's lock. Calls for a partition that the shard does
+// not own are answered with job_wrong_owner.
 class job_table {
 public:
     // max_retained_bytes limits the memory for ended jobs. At the limit new jobs are refused, because
     // removing an ended job early could run it twice.
     explicit job_table(std::size_t max_retained_bytes);
 
-    // One overload for each event of job_event. wall_now is needed where the time inside an id is used.
+    // One overload for each alternative of job_event. Some need wall_now to compare it with the creation time
+    // inside a job id.
     job_actions apply(const submission& request, time_point now, wall_time wall_now);
     job_actions apply(const forward_lookup& request, time_point now, wall_time wall_now);
     job_actions apply(const caller_left& left, time_point now, wall_time wall_now);
@@ -35,17 +36,18 @@
     job_actions apply(const assignment& chosen, time_point now, wall_time wall_now);
     job_actions apply(const task_reports& reports, time_point now, wall_time wall_now);
     job_actions apply(const job_report& report, time_point now, wall_time wall_now);
-    // After a reconnect, unanswered dispatches and queries are sent again. Tasks that a gone agent had
-    // accepted have an unknown outcome.
+    // After a reconnect, unanswered dispatches and queries are sent again. If the agent is gone, the results
+    // of its tasks are lost: idempotent requests are retried, other jobs end with an unknown outcome.
     job_actions apply(const agent_presence& presence, time_point now, wall_time wall_now);
     job_actions apply(const partition_gain& gained, time_point now, wall_time wall_now);
     // Drops the partition's jobs and sends their callers to the new owner.
     job_actions apply(const partition_loss& lost, time_point now, wall_time wall_now);
     // Applies deadlines and the end of the deduplication window. Must be called at least every 50 ms.
     job_actions apply(const clock_tick& tick, time_point now, wall_time wall_now);
-    // The agent answers for every job that it does not list, also after it is gone.
+    // An agent that stops as planned lists its jobs. It has run no task of any other job, so such jobs need
+    // no answer from it, also after it is gone.
     job_actions apply(const agent_departure& parting, time_point now, wall_time wall_now);
-    // State that the former owner had of a partition which this shard owns in the next epoch.
+    // Takes over what the former owner knew of the partition, if this shard owns it in the following epoch.
     job_actions apply(const partition_handover& handover, time_point now, wall_time wall_now);
 
     std::size_t active_jobs() const { return active_jobs_; }
@@ -56,14 +58,16 @@
     struct owned_partition {
         epoch_number epoch = 0;
         bool is_first_epoch = false;
-        // An id is new if it was created after this time, plus a margin for clock skew, and is not in
-        // inherited.
+        // This shard and the former owners that passed on their jobs have received all jobs since this time.
+        // So an id is new if it was created later, with a margin for clock skew, and was not listed by the
+        // former owner.
         wall_time known_since;
-        // Jobs that the former owner listed in its handover.
+        // Hashes of the job ids that the former owner listed in its handover.
         std::unordered_set<std::uint64_t> inherited;
+        // Agents that may have started tasks under earlier epochs.
         std::set<incarnation> suspects;
     };
-    // An agent that stopped as planned, with the jobs that it listed.
+    // An agent that stopped as planned, with the hashes of the job ids that it listed.
     struct parted_agent {
         time_point when;
         std::unordered_set<std::uint64_t> jobs;
@@ -102,9 +106,11 @@
     job_map jobs_;
     std::map<incarnation, std::set<job_id>> jobs_by_agent_;
     std::multimap<time_point, job_id> deadlines_;
+    // Ended jobs with the times of their ends, oldest first.
     std::deque<std::pair<time_point, job_id>> ended_order_;
     std::set<incarnation> gone_agents_;
-    // Agents that stopped as planned. An entry is kept for as long as the agent's records would have counted.
+    // Agents that stopped as planned. Each is kept for the deduplication window, as long as its records would
+    // have been needed.
     std::map<incarnation, parted_agent> parted_agents_;
     std::size_t active_jobs_ = 0;
     std::size_t retained_bytes_ = 0;
--- a/coordination/placement_credits.h
+++ b/coordination/placement_credits.h
@@ -9,8 +9,8 @@
 
 namespace persimmonstile {
 
-// Chooses the backend server with the most credits: its slots minus its reported load and the tasks sent
-// since. Speed is not considered.
+// Chooses the backend server with the most credits, which are its slots minus its tasks. Speed is not
+// considered. Ties are broken at random.
 class placement_credits {
 public:
     void update(std::uint32_t id, const placement_load& load, std::mt19937_64& random) {
--- a/coordination/placement_heap.h
+++ b/coordination/placement_heap.h
@@ -9,7 +9,7 @@
 
 namespace persimmonstile {
 
-// Binary min-heap of numbered elements whose keys can change. Equal keys are ordered by the tie value.
+// Binary min-heap of numbered elements whose keys can change. Equal keys are ordered by the tie breaker.
 class placement_heap {
 public:
     // Inserts the element or changes its key.
--- a/coordination/placement_least_completion.h
+++ b/coordination/placement_least_completion.h
@@ -11,7 +11,7 @@
 namespace persimmonstile {
 
 // Chooses the backend server with the earliest expected completion: the wait for a slot plus the run time.
-// Ties are broken at random, so that several entries do not all choose the same backend server.
+// Ties are broken at random, so that entries with the same information do not all choose the same one.
 class placement_least_completion {
 public:
     void update(std::uint32_t id, const placement_load& load, std::mt19937_64& random) {
--- a/coordination/placement_random.h
+++ b/coordination/placement_random.h
@@ -9,7 +9,7 @@
 
 namespace persimmonstile {
 
-// Chooses any backend server with free capacity, with equal probability.
+// Chooses among the backend servers that may receive a task now, all with equal probability.
 class placement_random {
 public:
     void update(std::uint32_t id, const placement_load&, std::mt19937_64&) { available_.insert(id); }
--- a/coordination/placement_set.h
+++ b/coordination/placement_set.h
@@ -32,7 +32,8 @@
 
     bool empty() const { return ids_.empty(); }
 
-    // The set must not be empty. The bias of the modulo is below 2^-32 and of no consequence here.
+    // The set must not be empty. The modulo of the 64-bit number is biased by less than 2^-32, which is
+    // negligible here.
     std::uint32_t random_element(std::mt19937_64& random) const { return ids_[random() % ids_.size()]; }
 
 private:
--- a/coordination/placement_two_choices.h
+++ b/coordination/placement_two_choices.h
@@ -11,7 +11,7 @@
 
 namespace persimmonstile {
 
-// Picks two backend servers at random and chooses the one with fewer tasks per slot.
+// Picks two backend servers that may receive a task at random and chooses the one with fewer tasks per slot.
 class placement_two_choices {
 public:
     void update(std::uint32_t id, const placement_load& load, std::mt19937_64&) {
--- a/coordination/queue_router.h
+++ b/coordination/queue_router.h
@@ -7,8 +7,8 @@
 
 namespace persimmonstile {
 
-// Finds the queue for a call: among the queues with the call's host, the one with the longest matching path
-// prefix. Returns null if none matches.
+// Finds the queue for a call. Of the queues with the call's host, it is the one with the longest path prefix
+// that matches. Returns null if none matches.
 inline const queue_policy* find_queue(const deployment_config& config, std::string_view host,
                                       std::string_view path) {
     const queue_policy* best = nullptr;
--- a/coordination/run_planner.cpp
+++ b/coordination/run_planner.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-// Time for a start order and its report in addition to the run: within a zone, and extra between zones.
+// Time that a start order and its report add to the run: within a zone, and further time between zones.
 constexpr double local_overhead_seconds = 0.002;
 constexpr double remote_overhead_seconds = 0.003;
 
-// Random variation of the cost. Entries that see the same free capacity must not all choose the same one of
-// several equal backend servers.
+// Maximum random increase of the cost, as a fraction. Without it, entries that see the same free capacity
+// would all choose the same one of several equal backend servers.
 constexpr double cost_jitter = 0.04;
 
 // Among nearly equal backend servers, one with more free capacity is less likely to be full when the order
 // arrives. At full utilization the cost is higher by this fraction.
 constexpr double utilization_weight = 0.3;
 
-// Cost factor of a backend server where this task failed before, so that it is chosen last.
+// Cost factor of a backend server where this task failed before. It makes that one the last choice.
 constexpr double failed_backend_factor = 4;
 
 // A job ends with its longest task. That task takes about this multiple of the expected run time, because a
@@ -80,7 +80,8 @@
     for (ledger_job* job : waiting) {
         const job_target target = times.target_of(*job, find_queue_named(config, job->record->queue));
         const timeliness value = timeliness_of(target, now);
-        // Started jobs finish before other late jobs start; otherwise the work done for them would be lost.
+        // A late job that has started takes precedence over late jobs that have not. Otherwise the work done
+        // for it would be lost.
         const bool is_first = value == timeliness::in_time || (value == timeliness::late && job->has_begun);
         order.push_back(
             {job, is_first ? timeliness::in_time : value, is_first ? target.in_time : target.useful});
@@ -138,9 +139,8 @@
                                             jobs.without_room.end());
 }
 
-// Returns the agents that may get a run now and records their free capacity. Suspect agents are left out if
-// at least half are not suspect. If most are suspect, the cause is probably elsewhere, and some runs may
-// succeed.
+// Returns the agents that may get a run now and stores their free capacity. Suspect agents are left out
+// unless they are the majority. In that case the cause is probably elsewhere, and some runs may succeed.
 std::vector<agent_view*> run_planner::usable_agents(agent_directory& agents, const std::string& service,
                                                     const deployment_config& config, time_point now) {
     std::vector<agent_view*> healthy;
--- a/coordination/run_planner.h
+++ b/coordination/run_planner.h
@@ -26,17 +26,18 @@
 // Result of a planning pass over the waiting jobs.
 struct run_plan {
     std::vector<planned_run> runs;
-    // Jobs for which no task could be placed and which can no longer end in time for their callers.
+    // Jobs that can no longer end while their callers wait and the completion has value, and for which no
+    // task was placed.
     std::vector<job_id> cannot_finish;
-    // Jobs that will be late while all capacity goes to other jobs.
+    // Late jobs of services whose capacity has been going to other jobs for too long.
     std::vector<job_id> late_without_capacity;
 };
 
-// Decides which waiting tasks run where. It orders jobs by how useful their completion still is, and chooses
-// for each task the backend server that is expected to finish it first.
+// Decides which waiting tasks run where. It orders jobs by how useful their completion still is. For each
+// task it chooses the backend server with the lowest cost, which is essentially the expected run time there.
 class run_planner {
 public:
-    // remote_data_factor multiplies the run time of a task on a rack other than that of its data.
+    // remote_data_factor multiplies the cost of a task on a rack other than that of its data.
     run_planner(std::string zone, double remote_data_factor, std::uint64_t seed)
         : zone_{std::move(zone)}
         , remote_data_factor_{remote_data_factor}
@@ -47,20 +48,22 @@
     run_plan plan(const std::vector<ledger_job*>& waiting, agent_directory& agents,
                   const run_time_model& times, const deployment_config& config, time_point now);
 
-    // Whether the agent may get a run of the service now, regardless of its free capacity.
+    // Whether the agent may start a run of the service now if it has enough free capacity.
     static bool is_usable(const agent_view& agent, const std::string& service,
                           const deployment_config& config, time_point now);
-    // Whether the agent may get runs of kept jobs: a successor of this entry must be able to find them.
+    // Whether the agent may get runs of durable jobs. A successor of this entry must be able to find such
+    // runs.
     static bool is_usable_for_kept(const agent_view& agent) {
         return agent.is_session_introduced && agent.is_recorded;
     }
 
 private:
-    // The late jobs of a service that have not started, in one planning pass.
+    // What one planning pass did for the late jobs of a service that have not started.
     struct late_jobs {
+        // Best-effort jobs for which no task was placed.
         std::vector<job_id> without_room;
         bool has_late_start = false;
-        // Runs planned for jobs that can end in time or have already started.
+        // Runs planned for all other jobs of the service.
         std::size_t other_starts = 0;
     };
 
@@ -78,7 +81,7 @@
     std::mt19937_64 random_;
     // Free capacity of the usable agents during a planning pass.
     std::map<agent_number, resources> room_;
-    // By service.
+    // Decides for each service when its late jobs are refused.
     std::map<std::string, late_job_patience> patience_;
 };
 
--- a/coordination/run_time_model.cpp
+++ b/coordination/run_time_model.cpp
@@ -10,7 +10,7 @@
 // Run time assumed for a task whose caller gave no estimate.
 constexpr double default_run_seconds = 0.2;
 
-// A completion is worth less after its objective, and nothing after this multiple of it.
+// A completion loses value after the objective of its job, and has none after this multiple of the objective.
 constexpr int max_useful_multiple = 3;
 
 double seconds_of(milliseconds time) {
--- a/coordination/run_time_model.h
+++ b/coordination/run_time_model.h
@@ -10,8 +10,8 @@
 
 namespace persimmonstile {
 
-// Learns expected run times from ended runs. Callers' estimates are rough, but within a queue they are wrong
-// by a similar factor.
+// Predicts run times by correcting the callers' estimates with the run times of ended runs. The estimates are
+// rough, but within one queue they are wrong by a similar factor.
 class run_time_model {
 public:
     // Records that a task with this estimate ran for run_time on a backend server with this slowness.
@@ -20,11 +20,12 @@
     // Expected run time on a backend server of typical speed.
     double expected_seconds(const std::string& queue, milliseconds estimate) const;
 
-    // queue may be null if the queue is no longer configured.
+    // Derives the time limits of the job from its expected duration and the policy of its queue. queue is
+    // null if the queue is no longer configured.
     job_target target_of(const ledger_job& job, const queue_policy* queue) const;
 
 private:
-    // Ratio of the run time to the caller's estimate, by queue.
+    // Ratio of the run time on a typical backend server to the caller's estimate, by queue.
     std::unordered_map<std::string, speed_estimate> ratios_;
 };
 
--- a/coordination/scheduler.cpp
+++ b/coordination/scheduler.cpp
@@ -16,44 +16,48 @@
 // enough.
 constexpr std::uint32_t prefetch_per_agent = 1;
 
-// Fraction of the capacity beyond its own part that an entry uses when other entries share the agent. Entries
-// that see the same free capacity and use all of it send too many tasks at once: with three entries at 70%
-// load, 1.5% of the tasks were refused, and 0.1% with this fraction.
+// Fraction of the free slots beyond its own part that an entry uses when other entries share the agent. If
+// entries that see the same free slots use all of them, they send too many tasks at once: with three entries
+// at 70% load, 1.5% of the tasks were refused. With this fraction it was 0.1%.
 constexpr double shared_slot_fraction = 0.75;
 
 // Run time assumed until the first task of a service has ended.
 constexpr double initial_run_seconds = 0.3;
 
-// A mean run time averages about this many of the latest tasks.
+// Means cover about this many of the latest tasks or arrivals.
 constexpr std::uint32_t run_time_window = 64;
 
-// How much longer a job waits behind smaller jobs of its team, as a multiple of the time that it takes alone.
-// It limits the wait of large jobs, while small jobs keep a low response time relative to the ideal. At 120%
-// load a factor of 16 completes 98% of the capacity in time, a factor of 4 only 92% (docs/placement.md).
+// Smaller jobs of its team may overtake a job if they arrive within this multiple of the time that the job
+// takes alone. The limit bounds the wait of large jobs, while small jobs keep a low response time relative to
+// the ideal. At 120% load a factor of 16 completes 98% of the capacity in time, a factor of 4 only 92%
+// (docs/placement.md).
 constexpr double size_penalty = 16;
 
-// If the queue takes longer than this, an entry counts only its own part of the slots.
+// If the waiting tasks need more time than this, admission counts only the entry's own part of the slots.
 constexpr double max_shared_wait_seconds = 2;
 
-// The rate is an estimate, so a job is given up early only if it clearly needs more than the time left.
+// A job is deferred if even this fraction of the time that its waiting tasks need exceeds the time left. The
+// needed time is an estimate, so it must be clearly too long.
 constexpr double infeasible_margin = 0.8;
+// Time after which a deferred job is checked again.
 constexpr std::chrono::seconds deferral_time{1};
 
 // Minimum number of samples of a task class before deadlines are checked against its mean run time.
 constexpr std::uint32_t min_deadline_samples = 8;
 
-// A job that would miss its deadline even on an idle system is admitted once per interval, so that a stale
-// mean run time is corrected.
+// A job that would miss its deadline even on an idle system is admitted if no job of its task class was
+// admitted for this long. Its tasks correct the mean run time if that is stale.
 constexpr std::chrono::seconds mean_recheck_interval{1};
 
-// Callers choose the methods, so the number of classes must be limited. Further methods use the class of
-// jobs.
+// Callers choose the names of methods, so the number of classes must be limited. Requests of further methods
+// share the class of jobs.
 constexpr std::size_t max_task_classes = 64;
 
-// Backend servers differ in speed by a factor of 4. One that is slower than the typical one by this factor is
-// defective, and a task on it would take longer than waiting for another backend server.
+// Healthy backend servers differ in speed by a factor of up to 4. One that is slower than the typical one by
+// more than this factor is defective: a task on it takes longer than waiting for another backend server.
 constexpr double slowness_limit = 6;
 constexpr std::uint32_t samples_for_slowness = 3;
+// A run time of up to this multiple of the typical one is normal.
 constexpr double normal_ratio_limit = 2;
 
 // A backend server with one task counts as silent after this multiple of the mean run time, and one with k
@@ -100,8 +104,8 @@
         if (zone_out == agent.zone_out)
             continue;
         agent.zone_out = zone_out;
-        // Backend servers of a zone that returns start with a small window, so that their load rises step by
-        // step.
+        // When a zone returns, its backend servers start with a window of one task, so that their load rises
+        // step by step.
         for (const auto& [service, backend] : agent.backends)
             services_[service].backends[backend].health.start_with(1);
         refresh_agent(agent, now);
@@ -327,8 +331,8 @@
     const ejection_cause cause = backend.health.cause();
     backend.health.succeeded(now);
     if (cause == ejection_cause::slowness) {
-        // One short task is weak evidence, so the estimate must agree too. If it does not, the next probe
-        // follows at once.
+        // One short task is weak evidence, so its geometric mean with the earlier slowness must be low
+        // too. If it is not, the next probe follows at once.
         const double estimate = std::sqrt(backend.slowness.value_or(1) * ratio);
         backend.slowness.reset(estimate);
         if (ratio <= slowness_limit && estimate > slowness_limit / 2)
@@ -336,9 +340,9 @@
         if (estimate > slowness_limit / 2)
             return;
     }
-    // If a task of normal length ends the silence, it was an interruption. Otherwise the silence counts as
-    // evidence of slowness: the first tasks to end are the shortest ones and understate how slow the backend
-    // server has become.
+    // If the task that ends a silence took a normal time, the silence was an interruption. Otherwise it is
+    // evidence of slowness, and the slowness estimate is reset: the first tasks to end are the shortest ones
+    // and understate how slow the backend server has become.
     const bool interrupted = cause == ejection_cause::silence && ratio <= normal_ratio_limit;
     if (cause == ejection_cause::silence && !interrupted)
         backend.slowness.reset(std::sqrt(backend.slowness.value_or(1) * ratio));
@@ -379,7 +383,8 @@
         return;
     const bool full = reason == refusal::queue_full || reason == refusal::declined_by_backend_server;
     backend.health.refused(full, static_cast<std::uint32_t>(backend.in_flight.size()), now);
-    // An operator's action is not an overload, so its tasks are moved without delay.
+    // A refusal because of an operator's action is no sign of overload, so it does not count against the
+    // retry budget.
     const bool planned = reason == refusal::draining || reason == refusal::zone_out;
     if (!record.withdrawn && !planned)
         ++record.retries;
@@ -515,7 +520,7 @@
     }
 }
 
-// True if the waiting tasks alone would not end before the deadline, even if the job had the whole service.
+// True if the waiting tasks would clearly not end before the deadline even if the job had the whole service.
 template <placement_policy policy>
 bool basic_scheduler<policy>::is_hopeless(const service_state& service, const scheduler_job& record,
                                           time_point now) {
@@ -729,8 +734,8 @@
     return number;
 }
 
-// Tasks that this entry may have at a backend server regardless of the other entries. The parts of all
-// entries together fit into the slots.
+// Number of tasks that this entry may have at a backend server regardless of the other entries. The parts of
+// all entries together fit into the slots, unless there are fewer slots than entries: each may then have one.
 template <placement_policy policy>
 std::uint32_t basic_scheduler<policy>::own_slots(std::uint32_t slots) const {
     return std::max<std::uint32_t>(slots / entries_, 1);
@@ -742,12 +747,12 @@
     return backend.slowness.value_or(1) * service.typical.value_or(initial_run_seconds);
 }
 
-// At most half of the backend servers are ejected at once.
+// At most half of the backend servers of a service may be ejected at once.
 template <placement_policy policy> bool basic_scheduler<policy>::may_eject(const service_state& service) {
     return 2 * (service.ejected + 1) <= service.serving;
 }
 
-// Ejections are suspended if other backend servers have left and the ejected ones are now the majority.
+// Ejected backend servers get tasks again if they have become the majority because others have left.
 template <placement_policy policy>
 bool basic_scheduler<policy>::is_ejection_enforced(const service_state& service) {
     return 2 * service.ejected <= service.serving;
@@ -779,7 +784,7 @@
     const double failure_ratio = counted ? backend.health.failure_ratio() : 0;
     state.serving += (serving ? 1 : 0) - (backend.is_serving ? 1 : 0);
     state.ejected += (ejected ? 1 : 0) - (backend.is_ejected ? 1 : 0);
-    // Without any usable backend server the sums are reset, which removes accumulated rounding errors.
+    // The sums are reset while no backend server is usable. This removes accumulated rounding errors.
     const bool any = state.serving > state.ejected;
     state.rate = any ? state.rate + rate - backend.rate : 0;
     state.own_slots_rate = any ? state.own_slots_rate + own_slots_rate - backend.own_slots_rate : 0;
@@ -830,8 +835,8 @@
     return backend.others * std::exp2(-age / half_life);
 }
 
-// Returns the load to give to the placement policy, or nullopt if the backend server may not receive a task
-// now. In the latter case a wakeup is set if the time at which it may is known.
+// Returns the load for the placement policy, or nullopt if the backend server may not receive a task now. If
+// the time is known at which it may, a wakeup is scheduled for it.
 template <placement_policy policy>
 std::optional<placement_load> basic_scheduler<policy>::offer(std::uint32_t service, std::uint32_t number,
                                                              double others, time_point now) {
@@ -849,8 +854,8 @@
         if (now < health.probe_at())
             wake_at(service, number, health.probe_at());
         else if (own + 1 <= backend.slots)
-            // A probe takes precedence over all other choices, because only a probe that is sent gives a
-            // result.
+            // A load of 0 makes the probe the first choice. Otherwise it might never be sent, and the backend
+            // server would stay ejected.
             return placement_load{backend.slots, 0, 0};
         return std::nullopt;
     }
--- a/coordination/scheduler.h
+++ b/coordination/scheduler.h
@@ -44,7 +44,7 @@
     explicit basic_scheduler(std::uint64_t seed = default_seed);
 
     void set_fleet(std::shared_ptr<const fleet_view> fleet, time_point now = time_point{});
-    // Number of entries that share the cell; each enforces its fraction of the quotas.
+    // Number of entries that share the agents. Each enforces an equal part of the quotas.
     void set_entry_count(std::uint32_t entries);
 
     // Decides on a new job. If the job is admitted, its tasks 0..n-1 are queued; otherwise returns the
@@ -52,7 +52,7 @@
     std::optional<job_failed> admit(const job_id& job, const job_spec& spec, time_point deadline,
                                     time_point now);
     // Queues tasks again that an agent did not start, or whose job was rebuilt after a takeover. In the first
-    // case task_returned must be called before.
+    // case task_returned must have been called for them.
     void requeue(const job_id& job, const job_spec& spec, const std::vector<task_index>& tasks,
                  time_point deadline, time_point now);
     // Drops the waiting tasks of a job that has ended. Required for every job that ends before all of its
@@ -62,7 +62,8 @@
     // Handles the return of an assigned task, whatever its status.
     void task_returned(const incarnation& agent, const job_id& job, const task_report& report,
                        time_point now);
-    // Handles the load in a message. Must be called after task_returned for the reports of the same message.
+    // Handles the load that a message contains. task_returned must have been called for the reports of the
+    // same message.
     void load_reported(const incarnation& agent, const std::string& service, const agent_load& load,
                        time_point now);
     void agent_changed(const agent_status& status, time_point now);
@@ -76,7 +77,7 @@
     // the queue.
     std::vector<assignment> take_assignments(time_point now);
 
-    // Time at which take_assignments must be called again even if nothing is reported before.
+    // Time at which take_assignments must be called even if nothing is reported until then.
     std::optional<time_point> next_wakeup() const;
 
     std::size_t waiting_tasks() const { return waiting_count_; }
@@ -88,7 +89,7 @@
         std::size_t operator()(const incarnation& agent) const { return agent.number; }
     };
 
-    // Time at which a backend server must be refreshed.
+    // Time at which the state of a backend server must be updated.
     struct wakeup {
         time_point time;
         std::uint32_t service = 0;
@@ -97,6 +98,7 @@
         bool operator>(const wakeup& other) const { return time > other.time; }
     };
 
+    // The assignments that a call of take_assignments has made so far.
     struct pending_assignments {
         std::vector<assignment> list;
         // Position in the list by job and backend server number.
@@ -116,7 +118,7 @@
     std::optional<job_failed> check_capacity(const job_spec& spec, time_point deadline, time_point now);
 
     scheduler_job& job_record(const job_id& job, const job_spec& spec, time_point deadline, time_point now);
-    // job must be the key of the job's entry in job_numbers_.
+    // job must be the key of the job in job_numbers_, because the record points to it.
     std::uint32_t add_job(const job_id& job, const job_spec& spec);
     void change_waiting(const scheduler_job& record, std::int64_t difference);
     void enqueue(std::uint32_t number);
@@ -177,7 +179,7 @@
     admission_retry_budget retry_budget_;
     // Jobs that cannot end in time at the present rate, with the time of the next check.
     std::deque<std::pair<job_id, time_point>> deferred_jobs_;
-    // Jobs with held tasks, oldest first.
+    // Jobs with tasks that wait for the retry budget, oldest first.
     std::deque<job_id> held_jobs_;
 };
 
--- a/coordination/scheduler_backend.h
+++ b/coordination/scheduler_backend.h
@@ -11,7 +11,7 @@
 
 namespace persimmonstile {
 
-// A task that was assigned and has not returned.
+// A task that was assigned to a backend server and has not returned.
 struct in_flight_task {
     std::uint32_t job = 0;
     task_index index = 0;
@@ -29,7 +29,8 @@
     // Run time of tasks here relative to the typical run time of tasks of their class; 2 is half as fast.
     speed_estimate slowness;
     ejection health;
-    // Time of the last report, or of an assignment to the idle backend server if that is later.
+    // Time of the last return of a started task, or of an assignment to the idle backend server if that is
+    // later.
     time_point quiet_since;
     // Job number of the last failure plus 1; 0 if there was no failure.
     std::uint32_t last_failed_job = 0;
@@ -38,7 +39,7 @@
     time_point others_at;
     // The earliest pending wakeup.
     std::optional<time_point> wakeup;
-    // This backend server's contribution to the sums of the service.
+    // This backend server's contribution to the counts and sums of its service.
     bool is_serving = false;
     bool is_ejected = false;
     double rate = 0;
--- a/coordination/scheduler_job.h
+++ b/coordination/scheduler_job.h
@@ -23,23 +23,26 @@
     std::uint8_t size_class = 0;
     std::uint8_t task_class = 0;
     time_point deadline;
-    // Sort key within the team, see fair_queue::position.
+    // Sort key within the team, see fair_queue.
     double order = 0;
+    // Tasks from next up to end were never assigned.
     task_index next = 0;
     task_index end = 0;
+    // Tasks that were queued again.
     std::vector<task_index> returned;
     std::uint32_t in_flight = 0;
     // Tasks that returned without having started and have not been queued again yet.
     std::uint32_t awaiting_requeue = 0;
     // Number of those tasks that count against the retry budget.
     std::uint32_t retries = 0;
-    // Tasks to be queued again that are held until the retry budget allows them.
+    // Tasks to be queued again once the retry budget allows it.
     std::vector<task_index> held;
 
+    // Number of tasks that may be assigned now. Waiting tasks include those held by the retry budget.
     std::size_t ready() const { return end - next + returned.size(); }
     std::size_t waiting() const { return ready() + held.size(); }
 
-    // Requires ready() > 0. Returned tasks go first.
+    // Removes a task that may be assigned now; there must be one. Tasks that were queued again go first.
     task_index take() {
         if (returned.empty())
             return next++;
--- a/coordination/scheduler_service.h
+++ b/coordination/scheduler_service.h
@@ -15,7 +15,7 @@
 
 namespace persimmonstile {
 
-// Keeps the backend servers and waiting tasks of one service.
+// State that the scheduler keeps for a service: its backend servers, waiting tasks and run time statistics.
 template <typename policy> struct scheduler_service {
     std::string name;
     policy placement;
@@ -24,8 +24,9 @@
     fair_queue queue;
     std::size_t waiting = 0;
     std::size_t in_flight = 0;
-    // Utilization as arriving jobs see it, as a fraction of the capacity, and the sizes of these jobs.
+    // Mean fraction of this entry's capacity that is in use when a job arrives.
     double busy = 0;
+    // Sizes of the admitted jobs.
     admission_job_mix mix;
     // By class number; class 0 is that of jobs.
     std::vector<scheduler_task_class> task_classes{1};
@@ -40,7 +41,7 @@
     double rate = 0;
     // The same rate with this entry's part of the slots only.
     double own_slots_rate = 0;
-    // Sum of the failure ratios of the backend servers that are not ejected.
+    // Sum of the failure ratios of the serving backend servers that are not ejected.
     double failure_sum = 0;
     // True if any backend server has ever offered the service.
     bool was_served = false;
--- a/coordination/scheduler_task_class.h
+++ b/coordination/scheduler_task_class.h
@@ -9,7 +9,7 @@
 
 // Run time statistics of similar tasks of one service: those of jobs, or the requests of one method.
 struct scheduler_task_class {
-    // Typical run time in seconds, averaged over many samples because slowness is measured relative to it.
+    // Typical run time in seconds. It covers many samples, because slowness is measured relative to it.
     speed_estimate typical{256};
     // Mean run time in seconds. Unlike the typical run time it counts long tasks in full.
     double mean_seconds = 0;
--- a/coordination/scheduler_team.h
+++ b/coordination/scheduler_team.h
@@ -11,7 +11,7 @@
     // Maximum number of tasks that this entry runs at once for the team; 0 means no limit.
     std::uint32_t max_running = 0;
     std::uint32_t running = 0;
-    // Blocked state that was last passed to the queues.
+    // Whether the queues of the services currently skip the team.
     bool blocked = false;
     // Services whose queue has contained jobs of the team.
     std::vector<std::uint32_t> services;
