--- a/coordination/agent_actions.h
+++ b/coordination/agent_actions.h
@@ -26,17 +26,18 @@
     time_point give_up;
 };
 
-// A task message and the entry that receives it.
+// A task message with the entry that it is sent to.
 struct entry_send {
     incarnation to;
     task_message message;
 };
 
-// What the agent must do after an event in its task table.
+// The calls to the backend server and the messages to entries that an event in agent_tasks leads to.
 struct agent_actions {
     std::vector<backend_call> calls;
     std::vector<entry_send> sends;
-    // The entry to fetch a newer configuration or owner table from. The name is empty if nothing is fetched.
+    // Entry from which a newer configuration or owner table must be fetched. The name is empty if none is
+    // needed.
     incarnation fetch_from;
 };
 
--- a/coordination/agent_core.cpp
+++ b/coordination/agent_core.cpp
@@ -49,8 +49,9 @@
     }
 }
 
-// Starts tracking another life of the backend server. No run survives from the previous life, but orders in
-// flight to it may reach the new one. Their runs stay in doubt until the lists of the new life are read.
+// Starts tracking another life of the backend server. No run survives from the previous life, but start
+// orders in flight to it may reach the new one. It is unknown whether their runs started until the lists of
+// the new life are read.
 void agent_core::begin_life(const std::string& id, std::uint64_t life, time_point now) {
     if (!backend_.id.empty())
         lose_backend(run_refusal::no_backend, true, now);
@@ -80,8 +81,9 @@
     is_profiled_ = false;
 }
 
-// Ends all runs on the backend server; no list will report their final states. With keeps_unanswered_starts,
-// unanswered start orders may still be executed, so their runs are kept.
+// Refuses queued runs and ends all runs at the backend server as lapsed, because no list will report how they
+// ended. With keeps_unanswered_starts, runs with an unanswered start order remain, because the order may
+// still be executed.
 void agent_core::lose_backend(run_refusal reason, bool keeps_unanswered_starts, time_point now) {
     refuse_queued(reason, now);
     std::vector<run_ref> lost;
@@ -98,7 +100,7 @@
         abandoned_runs_.insert(run);
         end_run(*runs_.find(run), run_state::lapsed, reason, now);
     }
-    // Ends of a previous life cannot be acknowledged any more, and they were already reported to the owners.
+    // Ends of a previous life can no longer be acknowledged, and their owners already have the reports.
     for (const run_ref& run : ended)
         runs_.erase(run);
     is_synchronized_ = false;
@@ -120,7 +122,8 @@
 }
 
 void agent_core::tick(time_point now) {
-    // If no backend server is known, no run of an earlier agent process can outlast the longest lease.
+    // Without a backend server no lease is renewed, so no run of an earlier agent process can outlast the
+    // longest lease.
     if (!are_inventories_published_ && backend_.id.empty() && now - started_ >= limits_.lease_bound()) {
         publish_inventories(now);
     }
--- a/coordination/agent_core.h
+++ b/coordination/agent_core.h
@@ -25,8 +25,9 @@
 namespace persimmonstile {
 
 // Decides which orders an agent sends to its backend server and what it reports to the owners of runs. The
-// agent is the only client of the backend server, so it alone enforces the capacity. By raising the fencing
-// token it can establish that an unanswered start order was not executed. Deterministic and without I/O.
+// agent is the only client of the backend server, so it alone enforces the capacity limit. By raising the
+// fencing token it can establish that an unanswered start order was not executed. Deterministic and without
+// I/O.
 class agent_core {
 public:
     agent_core(incarnation self, std::string zone, const agent_limits& limits, time_point now);
@@ -40,19 +41,19 @@
     void link_closed(link_number link, time_point now);
     void received(link_number link, const work_message& message, time_point now);
 
-    // Refuses new and queued runs. Running ones may finish.
+    // Refuses new runs and queued runs. Runs that have started may finish.
     void begin_shutdown(time_point now);
     // True after begin_shutdown when no run is active and no end is waiting to be recorded.
     bool is_drained() const;
 
     void tick(time_point now);
-    // Latest time at which tick must be called.
+    // Latest time at which tick must be called next.
     time_point next_wakeup(time_point now) const;
 
     // Returns the output of all events since the last call.
     agent_output take_output(time_point now);
 
-    // Peer addresses of all entries, as reported by the connected ones.
+    // Peer addresses of all entries that the connected entries have reported.
     std::set<std::string> entry_addresses() const;
     // Returns true if entry_addresses may have changed since the last call.
     bool take_address_change() { return std::exchange(has_new_addresses_, false); }
@@ -74,9 +75,9 @@
         agent_free_capacity sent_room;
         time_point room_sent_at{};
         std::vector<run_report> reports;
-        // At least one report must not wait for the next message about free capacity.
+        // At least one report must be sent at once instead of with the next message about free capacity.
         bool has_urgent_report = false;
-        // The latest clock reading that the entry has echoed, and when the last ping was sent.
+        // The agent's latest clock reading that the entry has echoed, and when the last ping was sent.
         time_point last_echoed{};
         time_point last_ping{};
     };
@@ -179,11 +180,11 @@
     backend_clock clock_;
     backend_health health_;
     std::uint64_t token_ = 0;
-    // All orders with older tokens are fenced and the lists were read, so all running runs are known.
+    // All orders with older tokens are fenced and the lists were read since, so every started run is known.
     bool is_synchronized_ = false;
+    // Several hold orders in a row failed, so the lease is no longer renewed and new runs are refused.
     bool is_silent_ = false;
-    // The inventories were sent. From now on owners may conclude that a run that is not listed does not
-    // exist.
+    // The inventories were sent, so owners may conclude that a run that is not listed does not exist.
     bool are_inventories_published_ = false;
     bool is_shutting_down_ = false;
     end_acknowledger ends_;
@@ -191,6 +192,7 @@
     time_point last_reply_{};
     // Highest end number whose acknowledgement the backend server has confirmed.
     std::uint64_t confirmed_end_ = 0;
+    // Runs that this agent reported as ended before the backend server listed their end.
     std::set<run_ref> abandoned_runs_;
     // Time by which all leases that were requested so far have expired.
     time_point lease_bound_{};
@@ -211,14 +213,15 @@
     std::uint64_t last_listed_end_ = 0;
     // Number of consecutive hold orders without an answer.
     unsigned unanswered_holds_ = 0;
-    // Round-trip time of orders that are answered without a wait.
+    // Round-trip time of orders that the backend server answers without a wait.
     round_trip_estimate order_round_trip_;
 
     std::map<link_number, link_state> links_;
     bool has_new_addresses_ = true;
     std::map<incarnation, owner_state> owners_;
-    // Deposed owners with their successors.
+    // Successors of the deposed owners.
     std::map<incarnation, incarnation> deposed_;
+    // Availability zones that are out of service, and the version of this set.
     std::set<std::string> zones_out_;
     std::uint64_t zones_version_ = 0;
     time_point last_offer_{};
--- a/coordination/agent_directory.h
+++ b/coordination/agent_directory.h
@@ -10,8 +10,8 @@
 
 namespace persimmonstile {
 
-// Holds an entry's view of every agent that has connected to it. References to a view stay valid until
-// forget().
+// Holds an entry's views of the agents that have connected to it, indexed by name, connection and number.
+// References to a view stay valid until forget().
 class agent_directory {
 public:
     // Returns the view of the agent with this name; creates it if there is none.
@@ -19,7 +19,8 @@
     agent_view* by_link(link_number link);
     agent_view* by_number(agent_number number);
 
-    // Assigns the link to the agent. Returns the agent's previous link if it differs, otherwise 0.
+    // Assigns the link to the agent and clears what was known about the previous connection. Returns the
+    // agent's previous link if it differs, otherwise 0.
     link_number connect(agent_view& agent, link_number link);
     void disconnect(agent_view& agent);
     void forget(agent_number number);
--- a/coordination/agent_limits.h
+++ b/coordination/agent_limits.h
@@ -13,10 +13,10 @@
 struct agent_limits {
     // Longest lease that the backend server grants. Set by the platform.
     milliseconds max_lease{1000};
-    // Duration of the lease that the agent requests. It is slightly longer than the maximum because the
-    // estimate of the backend server's clock may be behind. The backend server limits it to the maximum.
+    // Duration of the lease that the agent requests. It exceeds max_lease, because the estimate of the
+    // backend server's clock may be behind. The backend server limits the lease to max_lease.
     milliseconds requested_lease() const { return max_lease + milliseconds{20}; }
-    // Time after which a lease that is requested now has certainly expired. It allows for clock rates that
+    // Time after which a lease that is requested now has expired in any case. It allows for clock rates that
     // differ by up to 2% and for the time that the order is in flight.
     milliseconds lease_bound() const {
         constexpr milliseconds margin{30};
@@ -24,59 +24,61 @@
     }
     // Callers that lost their connection send their jobs again after this time. Set by the platform.
     milliseconds caller_resend = default_caller_resend_delay;
-    // Maximum time that a backend server delays its answer to a hold order. If the answer is lost, the agent
-    // learns of ended runs this much later, which is a third of the objective of the shortest tasks (156 ms).
+    // Maximum time for which a backend server holds back its answer to a hold order. If the answer is lost,
+    // the agent learns of ended runs this much later, about a third of the objective of the shortest tasks
+    // (156 ms).
     milliseconds hold_wait{60};
     // Bounds of the timeout of an order. The timeout is estimated from past answers: a backend server on the
     // same machine answers within a millisecond, but a slow agent reads the answer much later. A timeout that
-    // was too short costs one more order, which raises the fencing token.
+    // is too short costs one more order, which raises the fencing token.
     milliseconds min_order_timeout{15};
     milliseconds max_order_timeout{60};
-    // A backend server counts as unresponsive if it has answered no order sent within this time. Two
-    // unanswered orders alone prove nothing where orders are lost.
+    // A backend server counts as unresponsive if it has answered none of the orders sent within this time.
+    // Two unanswered orders are not sufficient evidence, because single orders may be lost.
     milliseconds silence_timeout{200};
     // Ends are acknowledged only if the backend server answered an order sent within this time. A backend
-    // server that has restarted since would apply the numbers to its own ends, and a restart takes longer
-    // than this.
+    // server that has restarted since would take the numbers for those of its new ends and delete them. A
+    // restart takes longer than this time.
     milliseconds acknowledgement_age{400};
     // Retry delay for a backend server that does not answer.
     milliseconds retry_delay{100};
-    // Maximum number of start orders in flight. Each needs a connection.
+    // Maximum number of start orders in flight. Each of them needs its own connection.
     std::size_t max_starts_in_flight = 8;
     // A run that is queued for longer than this is returned to its owner, which may find another agent for
-    // it. The shortest jobs have about 50 ms to spare, and moving the run to another agent takes part of
-    // that.
+    // it. The shortest jobs have about 50 ms to spare, and moving a run to another agent takes part of that
+    // time.
     milliseconds queue_timeout{30};
     // Minimum time between two messages to one entry that report only free capacity or started runs. With
     // more frequent messages all entries would compete for every slot that becomes free. The time grows with
-    // the number of entries, or an agent with many entries would spend more time on messages than on its
-    // runs.
+    // the number of entries, because otherwise an agent with many entries would spend more time on messages
+    // than on its runs.
     milliseconds min_room_interval{60};
     milliseconds room_interval_per_entry{10};
     milliseconds room_interval(std::size_t entries) const {
         return std::max(min_room_interval, room_interval_per_entry * static_cast<std::int64_t>(entries));
     }
-    // The agent pings an entry that has echoed no clock reading for this time.
+    // The agent pings an entry that has not echoed a clock reading for this time.
     milliseconds ping_interval{300};
-    // Interval at which runs without a known owner are offered to the entries. An entry may have adopted
+    // Interval at which runs without a known owner are offered to all entries. An entry may have adopted
     // their jobs since the last offer.
     milliseconds offer_interval{1000};
-    // If the owner of an ended run has been unreachable for this time, the end is offered to all entries. The
-    // owner's successor may never have connected to this agent.
+    // If the owner of an ended run has been unreachable for this time, the end is offered to all entries,
+    // because the owner's successor may never have connected to this agent.
     milliseconds owner_absence_timeout{6000};
     // A task counts as stalled after a quarter of its expected run time without progress. Progress is
     // reported in percent, and a slow backend server may take several times as long as expected. The minimum
-    // allows for two waits for a list; the maximum limits the effect of a wrong expectation.
+    // allows for two waits for a list. The maximum limits the effect of an expectation that is too long.
     milliseconds min_stall_timeout{100};
     milliseconds max_stall_timeout{400};
     milliseconds stall_timeout(milliseconds expected) const {
         return expected.count() == 0 ? max_stall_timeout
                                      : std::clamp(expected / 4, min_stall_timeout, max_stall_timeout);
     }
-    // A backend server that was suspect is offered its capacity divided by this until a run succeeds.
+    // After a backend server was suspect, the agent offers the CPU and memory capacity divided by this number
+    // until a run succeeds.
     static constexpr std::int64_t probation_divisor = 8;
-    // Delay before the next list is requested after one that arrived early and showed no new end. Without it,
-    // ends that are not yet recorded would make the agent request lists in a busy loop.
+    // Delay before the next hold order if the last one was answered early and showed no new end. Without the
+    // delay, ends that are not yet recorded would make the agent send hold orders in a busy loop.
     milliseconds min_list_interval{10};
 };
 
--- a/coordination/agent_links.cpp
+++ b/coordination/agent_links.cpp
@@ -16,7 +16,7 @@
     has_new_addresses_ = true;
     links_[link] = {};
     output_.messages.emplace_back(link, profile(now));
-    // The pong arrives before the first start message.
+    // The entry sends its pong before its first start message, so the owner then counts as present.
     ping(link, now);
 }
 
@@ -25,7 +25,7 @@
     output_.messages.emplace_back(link, view_ping{now.time_since_epoch().count()});
 }
 
-// Busy entries echo the clock readings of other messages, so only idle ones need pings.
+// Busy entries echo the clock readings of other messages, so only idle entries need pings.
 bool agent_core::is_ping_due(const link_state& state, time_point now) const {
     return now - std::max(state.last_echoed, state.last_ping) >= limits_.ping_interval;
 }
@@ -68,7 +68,7 @@
         state.session = welcome.session;
         owners_[welcome.session].link = link;
     }
-    // The session counts as present once its first pong has arrived.
+    // The session counts as present only after its first pong.
     ping(link, now);
     if (are_inventories_published_)
         send_inventories(link, now);
@@ -167,17 +167,17 @@
     run_inventory inventory;
     inventory.owner = message.former;
     inventory.received_starts = links_[link].received_starts;
-    // Runs that the successor already owns are reported again. Among them may be runs of this former session
-    // that another session adopted in between.
+    // Runs that the successor already owns are reported again. Some of them may be runs of this former
+    // session that another session adopted before the successor did.
     runs_.for_each([&](run_record& record) {
         if (record.owner == message.former)
             record.owner = message.successor;
         if (record.owner == message.successor)
             inventory.reports.push_back(report_of(record, now));
     });
-    // Before the backend server's lists are read, an inventory would make the successor treat running runs as
-    // not started. Runs without an owner are sent first: the successor may not have known their jobs when
-    // they were last offered.
+    // Until the backend server's lists are read, an inventory would be incomplete, and the successor would
+    // treat runs that are missing in it as not started. Runs without an owner are sent first, because the
+    // successor may not have known their jobs when they were last offered.
     if (!are_inventories_published_)
         return;
     send_inventory(link, {}, now);
@@ -192,7 +192,7 @@
         if (record == nullptr || !record->owner.name.empty())
             continue;
         const run_state state = record->state;
-        // run_table accounts for the needs by state, so they are changed while the run holds no capacity.
+        // run_table sums the needs by state, so they are changed in a state that counts in no sum.
         runs_.set_state(*record, run_state::refused);
         record->needs = claimed.needs;
         record->owner = message.owner;
@@ -236,7 +236,8 @@
     add_report(links_[owner->second.link], report_of(record, now));
 }
 
-// The start of a run is reported with the next message, or not at all if the run has ended by then.
+// An end is reported at once. A start is reported with the next message, or not at all if the run has ended
+// by then.
 void agent_core::add_report(link_state& state, run_report report) {
     if (is_final(report.state)) {
         state.has_urgent_report = true;
@@ -267,12 +268,14 @@
     });
     if (owner.name.empty() && inventory.reports.empty())
         return;
-    // The inventory omits runs that ended and were already erased, so their pending reports are sent first.
+    // The inventory does not contain ended runs that are already erased, so their pending reports are sent
+    // first.
     send_reports(link, links_[link], now);
     output_.messages.emplace_back(link, std::move(inventory));
 }
 
-// Capacity that entries may use. It is reduced after a pause until a run succeeds.
+// Free capacity that entries may use. After the backend server was avoided, it is reduced until a run
+// succeeds.
 resources agent_core::free_room(time_point now) const {
     resources free = backend_.capacity - runs_.held();
     if (health_.is_on_probation(now)) {
--- a/coordination/agent_orders.cpp
+++ b/coordination/agent_orders.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 // Step by which the token is raised after the backend server refused it. An earlier process of this agent
-// raised its token by one at a time, so this step exceeds all tokens that it used.
+// raised its token by one at a time, so a token raised by this step is higher than all that it used.
 constexpr std::uint64_t token_step = 1000;
 
-// Maximum number of ends in one list of a backend server. Further ends are listed after an acknowledgement.
+// Maximum number of ends in one list of a backend server. It lists further ends after an acknowledgement.
 constexpr std::size_t max_listed_ends = 500;
 
 } // namespace
@@ -49,7 +49,8 @@
     return zones_out_.contains(zone);
 }
 
-// Only the owner knows how much capacity a run needs that a restarted agent found on the backend server.
+// After a restart the agent finds runs at the backend server, but only their owners know how much capacity
+// they need. No run is started until all of them are claimed.
 bool agent_core::has_unclaimed_runs() {
     bool found = false;
     runs_.for_each([&](run_record& record) {
@@ -98,7 +99,8 @@
 }
 
 bool agent_core::needs_hold() const {
-    // An unresponsive backend server is polled until it answers. Otherwise it would never get work again.
+    // Hold orders are sent to an unresponsive backend server until it answers. Otherwise it would never get
+    // work again.
     return is_silent_ || runs_.active_count() > 0 || ends_.acknowledged() > confirmed_end_;
 }
 
@@ -119,7 +121,8 @@
     hold_ = send(hold, timeout, now);
 }
 
-// Fences all earlier orders. The answer shows which of them were executed.
+// Sends a hold order with a higher token, which fences all earlier orders. The answer shows which of them
+// were executed.
 void agent_core::raise_token(time_point now) {
     is_raise_wanted_ = false;
     token_ = std::max(token_ + 1, static_cast<std::uint64_t>(std::max<std::int64_t>(0, clock_.at(now))));
@@ -155,7 +158,7 @@
         begin_life(std::string{backend_.id}, reply.life, now);
         return;
     }
-    // A process that was suspended reads old answers late, so the send time of the order is used.
+    // An agent that was suspended reads answers late, so the send time of the order counts.
     if (reply.life != 0)
         last_reply_ = std::max(last_reply_, sent.sent);
     const auto* hold = std::get_if<hold_order>(&sent.order.action);
@@ -305,8 +308,8 @@
     ends_.listed(end.number);
     if (ends_.is_recorded(end.number))
         return;
-    // The agent has already reported this run as ended because its lease had expired, so the end has no
-    // effect.
+    // The lease of this run expired and the agent reported it as ended, so the listed end is acknowledged
+    // without a further report.
     if (abandoned_runs_.contains(end.run)) {
         ends_.recorded(end.number);
         return;
@@ -339,7 +342,7 @@
         found.progressed_ms = clock_ms;
         found.percent = listed.percent;
         found.checkpoint = listed.checkpoint;
-        // A run that was given up has no owner that could claim it.
+        // An abandoned run has no owner that could claim it, so it is stopped.
         found.stop_wanted = abandoned_runs_.contains(listed.run);
         record = &runs_.add(std::move(found));
         return;
@@ -369,14 +372,14 @@
     }
 }
 
-// Uses the clock of the backend server, because lists may arrive late.
+// Measures the time without progress by the clock of the backend server, because lists may arrive late.
 bool agent_core::is_stalled(const run_record& record, const listed_run& listed, std::int64_t clock_ms) const {
     return record.state == run_state::running && !record.stop_wanted && listed.percent <= record.percent &&
            clock_ms - record.progressed_ms >= limits_.stall_timeout(record.expected).count();
 }
 
-// An unanswered start order with a lower token whose run is in neither list was not executed and never will
-// be.
+// Queues runs again whose unanswered start order is proved not executed: the order has a lower token than the
+// hold order, and the run is in neither list. Such an order will never be executed.
 void agent_core::resolve_unanswered_starts(const sent_order& hold, const std::set<run_ref>& listed,
                                            time_point now) {
     std::vector<run_ref> resolved;
@@ -401,8 +404,8 @@
     }
 }
 
-// Ends runs that were confirmed before the lists were requested and are in neither list. The backend server
-// has lost its record of them.
+// Ends runs that are in neither list although their start was confirmed before the lists were requested. The
+// backend server has lost its record of them.
 void agent_core::end_missing_runs(const sent_order& hold, const std::set<run_ref>& listed, time_point now) {
     std::vector<run_ref> vanished;
     runs_.for_each([&](run_record& record) {
@@ -416,7 +419,7 @@
     }
 }
 
-// From now on the agent knows all running runs, so the owners may rely on its inventories.
+// From now on the agent knows every started run, so the owners may rely on its inventories.
 void agent_core::complete_synchronization(time_point now) {
     is_synchronized_ = true;
     next_hold_ = now;
@@ -439,7 +442,7 @@
     const link_state& state = links_[link];
     if (state.process.name.empty())
         return;
-    // Runs without a known owner are sent first. Otherwise their owner would treat them as lost.
+    // Runs without a known owner are sent first, or their owner would treat them as lost.
     send_inventory(link, {}, now);
     send_inventory(link, state.process, now);
     if (!state.session.name.empty())
--- a/coordination/agent_output.h
+++ b/coordination/agent_output.h
@@ -11,7 +11,7 @@
 
 namespace persimmonstile {
 
-// Identifies a connection of a daemon to a peer. A number is never reused.
+// Identifies a connection of a daemon to a peer. The number is not reused after the connection is closed.
 using link_number = std::uint64_t;
 
 // The orders, messages and log records that an agent produces after an event.
--- a/coordination/agent_presence.h
+++ b/coordination/agent_presence.h
@@ -7,7 +7,8 @@
 
 namespace persimmonstile {
 
-// Reports that a connection to the agent was opened or reopened, or that the incarnation is permanently gone.
+// Event that reports that a connection to the agent was opened or reopened, or that the incarnation has ended
+// for good.
 struct agent_presence {
     incarnation agent;
     bool gone = false;
--- a/coordination/agent_runs.cpp
+++ b/coordination/agent_runs.cpp
@@ -13,8 +13,8 @@
     output_.ends.push_back(state);
     record_outcome(record, now);
     report(record, now);
-    // A listed end is kept until its owner has recorded it. Ends of claimed runs that are not kept are not
-    // recorded.
+    // A listed end is kept until its owner has recorded it in the store. Owners do not record the ends of
+    // best-effort jobs, so those are acknowledged at once.
     const bool is_claimed = !record.owner.name.empty();
     if (record.end_number != 0 && (record.is_durable || !is_claimed))
         return;
@@ -75,8 +75,9 @@
                      (is_durable ? owner_contact_lease : caller_contact_lease(limits_.caller_resend));
 }
 
-// Stops runs whose owner has been unreachable for too long, because a successor that cannot reach this agent
-// relies on it.
+// Stops runs that have expired or whose owner has been unreachable for too long. A successor that cannot
+// reach this agent relies on that. Ended runs of an owner that stays away lose their owner, so that they are
+// offered to all entries.
 void agent_core::check_owners(time_point now) {
     std::vector<run_ref> abandoned;
     runs_.for_each([&](run_record& record) {
@@ -103,6 +104,8 @@
     });
 }
 
+// Ends runs whose lease has expired at an unresponsive backend server, and refuses runs that were queued for
+// too long.
 void agent_core::check_waits(time_point now) {
     if (is_silent_ && now >= lease_bound_) {
         std::vector<run_ref> lapsed;
--- a/coordination/agent_tasks.cpp
+++ b/coordination/agent_tasks.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-// One queued task per slot hides the round trip to the owner. A longer queue would hold tasks that a faster
-// agent could run.
+// One queued task per slot hides the round trip to the owner. A longer queue would hold back tasks that a
+// faster agent could run.
 constexpr std::uint32_t queued_per_slot = 1;
 
-// A call times out this long after the deadline of its job. By then the owner has answered the caller. The
-// timeout frees the slot of a backend server that never answers.
+// A call times out this long after the deadline of its job, when the owner has already answered the caller.
+// The timeout frees the slot if the backend server never answers.
 constexpr milliseconds give_up_margin{1000};
 
-// Accepted tasks that may not start for this long are returned to the owner.
+// Queued tasks that the agent may not start for this long are returned to their owners.
 constexpr milliseconds blocked_queue_limit{500};
 
 task_report unstarted_report(task_index index, std::uint32_t attempt, refusal reason) {
--- a/coordination/agent_tasks.h
+++ b/coordination/agent_tasks.h
@@ -23,21 +23,21 @@
 
 namespace persimmonstile {
 
-// Accepts, deduplicates and starts the tasks of one agent and reports their results. It is the last check
-// that can prevent a second start of a task, so may_start is checked before every start. Deterministic and
-// without I/O. Not thread-safe.
+// Accepts, deduplicates and starts the tasks of one agent and reports their results. No later component can
+// prevent a second start of a task, so may_start is checked before every start. Deterministic and without
+// I/O. Not thread-safe.
 class agent_tasks {
 public:
     agent_tasks(incarnation self, std::string zone, std::string rack);
 
-    // Inputs of may_start.
+    // These set the conditions that may_start checks, and start queued tasks if they are now met.
     agent_actions set_table(const owner_table& table, time_point now);
     agent_actions set_fleet(std::shared_ptr<const fleet_view> fleet, time_point now);
-    // The configuration and owner table are known to be current until this time. An earlier time than before
-    // is ignored.
+    // The configuration and owner table are known to be current until this time. A time earlier than the
+    // previous one is ignored.
     agent_actions extend_lease(time_point until, time_point now);
     agent_actions set_recorded(time_point now);
-    // Refuses new tasks and accepted tasks that have not started. Running tasks finish.
+    // Refuses queued tasks now and new tasks from now on. Running tasks finish.
     agent_actions drain(time_point now);
 
     // Returns true if the announcement differs from the previous one, so that entries need the new status.
@@ -48,8 +48,8 @@
     agent_actions queried(const incarnation& owner, const query_job& message, time_point now);
     agent_actions answered(const job_id& job, task_index index, const backend_result& result, time_point now);
 
-    // Handles expired announcements and task deadlines, and deletes records older than the deduplication
-    // window.
+    // Treats backend servers whose announcement has expired as leaving, refuses tasks that have been blocked
+    // for too long, starts queued tasks, and deletes records older than the deduplication window.
     agent_actions tick(time_point now);
 
     // Hashes of all jobs that have a record, for agent_departure.
--- a/coordination/agent_view.h
+++ b/coordination/agent_view.h
@@ -18,7 +18,7 @@
 
 // What an entry knows about one agent and its backend server.
 struct agent_view {
-    // Used instead of a start message number for a run that was claimed after the agent restarted.
+    // Takes the place of the start message number for a run that was claimed after the agent restarted.
     static constexpr std::uint64_t claimed = std::numeric_limits<std::uint64_t>::max();
 
     agent_number number = 0;
@@ -28,8 +28,8 @@
     agent_profile profile;
     // The agent is recorded in the store, so a successor of this entry would query it.
     bool is_recorded = false;
-    // Since it connected, the agent has reported all runs of jobs that are not kept (is_introduced) and of
-    // kept jobs (is_session_introduced).
+    // Since it connected, the agent has reported all runs of best-effort jobs (is_introduced) and of durable
+    // jobs (is_session_introduced).
     bool is_introduced = false;
     bool is_session_introduced = false;
     agent_free_capacity room;
@@ -40,17 +40,19 @@
     // Runs that this entry sent to the agent and that have not ended, each with the number of its start
     // message on this connection. The number is 0 for runs of an earlier connection.
     std::map<run_ref, std::uint64_t> runs;
-    // When the latest clock reading of the agent arrived. The time for which the agent may keep runs going
-    // without contact to this entry starts when it sent that reading.
+    // When the latest clock reading of the agent arrived. The agent stops runs after some time without
+    // contact to this entry; that time starts when it sent the reading.
     time_point heard{};
-    // The clock reading to echo. 0 before the first one on this connection.
+    // The clock reading to echo; 0 before the first one on this connection.
     std::int64_t last_reading_ns = 0;
     // Actual run time divided by the expected run time.
     speed_estimate slowness{16};
-    // Set after the agent refused a run. By this time a message with the agent's current state should arrive.
+    // After the agent has refused a run, it is sent no further run before this time. By then a message with
+    // its current state should have arrived.
     time_point refused_until{};
 
-    // Capacity that remains after all runs that were sent to the agent.
+    // Reported free capacity minus the needs of queued runs and of start messages that the report does not
+    // include.
     resources free() const {
         resources left = room.free - room.queued;
         for (const auto& [number_sent, needs] : unacknowledged_starts)
--- a/coordination/backend_announcement.h
+++ b/coordination/backend_announcement.h
@@ -6,10 +6,10 @@
 
 namespace persimmonstile {
 
-// A profile that a backend server reported to its agent, with its sequence number and clock reading.
+// A backend server's report of its profile to its agent, with a sequence number and a clock reading.
 struct backend_announcement {
     backend_profile profile;
-    // Increases with each report within one life, so that a stale report is detected.
+    // Increases with each report within one life, so that the agent can ignore stale reports.
     std::uint64_t sequence = 0;
     std::int64_t clock_ms = 0;
 };
--- a/coordination/backend_clock.h
+++ b/coordination/backend_clock.h
@@ -7,8 +7,9 @@
 
 namespace persimmonstile {
 
-// Estimates a backend server's clock from the readings in its answers. Answers take time to arrive and clock
-// rates differ by up to 2%, so the estimate is accurate to a few milliseconds while answers keep arriving.
+// Estimates a backend server's clock from the readings in its answers and announcements. Readings take time
+// to arrive and clock rates differ by up to 2%, so the estimate is accurate to a few milliseconds while
+// readings keep arriving.
 class backend_clock {
 public:
     void observe(std::int64_t reading_ms, time_point now) {
--- a/coordination/backend_health.cpp
+++ b/coordination/backend_health.cpp
@@ -10,7 +10,8 @@
 // fail, so two in a row are unlikely to be chance.
 constexpr std::uint32_t failure_threshold = 2;
 
-// The first pause is short because most faults last for seconds. It doubles while the fault persists.
+// A backend server is avoided for this time. The first pause is short because most faults last only for
+// seconds. The pause doubles while the fault persists.
 constexpr milliseconds initial_pause{1000};
 constexpr milliseconds max_pause{8000};
 
@@ -29,7 +30,7 @@
         return false;
     pause_ = std::clamp(pause_ * 2, initial_pause, max_pause);
     avoided_until_ = now + pause_;
-    // After the pause a single failure starts the next one.
+    // A single failure after the pause starts the next pause.
     failures_in_a_row_ = failure_threshold - 1;
     return true;
 }
--- a/coordination/backend_health.h
+++ b/coordination/backend_health.h
@@ -7,8 +7,8 @@
 
 namespace persimmonstile {
 
-// Decides from the outcomes of its runs whether a backend server gets work. Its own reports are not enough: a
-// backend server on which every run fails or stalls may still report that it is ready.
+// Decides from the outcomes of a backend server's runs whether it gets work. Its own reports are not enough,
+// because a backend server on which every run fails or stalls may still report that it is ready.
 class backend_health {
 public:
     void succeeded();
@@ -18,12 +18,13 @@
 
     bool is_avoided(time_point now) const { return now < avoided_until_; }
     time_point avoided_until() const { return avoided_until_; }
-    // The pause has ended, and no run has succeeded since.
+    // True after a pause has ended until a run succeeds.
     bool is_on_probation(time_point now) const { return pause_.count() > 0 && !is_avoided(now); }
 
 private:
     std::uint32_t failures_in_a_row_ = 0;
     job_id last_failed_;
+    // Duration of the latest pause, during which the backend server is avoided. 0 after a success.
     milliseconds pause_{0};
     time_point avoided_until_{};
 };
--- a/coordination/backend_order.h
+++ b/coordination/backend_order.h
@@ -22,16 +22,17 @@
     run_ref run;
 };
 
-// Renews the lease of all runs, acknowledges ends, and reads the lists of running and ended runs. With a
-// nonzero wait the backend server answers as soon as a run ends.
+// Renews the lease of all runs, acknowledges ends, and reads the lists of running and ended runs. The backend
+// server answers when a run ends, or after the wait at the latest.
 struct hold_order {
+    // The backend server may delete all ends up to this number.
     std::uint64_t acknowledged_end = 0;
     milliseconds wait{0};
-    // Whether the lease is renewed.
+    // False to let the lease expire.
     bool renews = true;
 };
 
-// An order to a backend server, with the fields that all kinds of orders have.
+// An order to a backend server: the fields common to all kinds of orders, and the action.
 struct backend_order {
     std::uint64_t id = 0;
     // The backend server refuses orders with a lower token than the highest one that it has seen.
--- a/coordination/backend_reply.h
+++ b/coordination/backend_reply.h
@@ -71,6 +71,7 @@
 struct listed_end {
     std::uint64_t number = 0;
     run_ref run;
+    // Final state of the run.
     run_state how = run_state::lapsed;
     std::string checkpoint;
 };
@@ -79,7 +80,7 @@
 struct backend_reply {
     std::uint64_t id = 0;
     backend_verdict verdict = backend_verdict::no_answer;
-    // The backend server's clock when it answered; 0 if the answer does not contain it.
+    // Time on the backend server's clock when it answered; 0 if the answer does not contain it.
     std::int64_t clock_ms = 0;
     // Life of the backend server that answered; 0 if the answer does not contain it.
     std::uint64_t life = 0;
--- a/coordination/call_rate_limiter.cpp
+++ b/coordination/call_rate_limiter.cpp
@@ -8,7 +8,7 @@
 
 using fractional_seconds = std::chrono::duration<double>;
 
-// After this many doublings any realistic first backoff has reached the maximum.
+// After this many doublings any realistic initial backoff has reached the maximum.
 constexpr unsigned maximum_doublings = 16;
 
 } // namespace
@@ -37,7 +37,8 @@
     const auto doubled = settings_.initial_backoff * (1U << std::min(failures_, maximum_doublings));
     const auto bound = std::min<milliseconds>(doubled, settings_.maximum_backoff);
     ++failures_;
-    // At least half of the bound, so that a series of small random numbers does not cancel the backoff.
+    // At least half of the bound, because a series of small random numbers would otherwise cancel the
+    // backoff.
     std::uniform_real_distribution<double> share{0.5, 1.0};
     not_before_ = now + std::chrono::duration_cast<boot_clock::duration>(bound * share(random_));
 }
--- a/coordination/call_rate_limiter.h
+++ b/coordination/call_rate_limiter.h
@@ -9,7 +9,7 @@
 
 // Rate limit and backoff of the calls that one process makes to the store.
 struct call_rate_limiter_settings {
-    // 200 entries and commands at this rate stay within the store's 2,000 reads/s.
+    // At this rate 200 entries and commands together stay within the store's 2,000 reads/s.
     double calls_per_second = 10;
     // Number of calls that may be made at once after an idle period.
     double burst = 20;
@@ -19,13 +19,13 @@
 };
 
 // Decides how long a caller waits before its next call: a token bucket limits the rate, and failures add an
-// exponential backoff. The backoff has jitter, because all clients would otherwise call a recovered store at
+// exponential backoff. The backoff has jitter, because otherwise all clients would call a recovered store at
 // the same moment. Not thread-safe.
 class call_rate_limiter {
 public:
     call_rate_limiter(call_rate_limiter_settings settings, std::uint64_t seed);
 
-    // Takes a slot for one call and returns how long to wait before making it.
+    // Takes a token for one call and returns how long to wait before making the call.
     boot_clock::duration reserve(time_point now);
 
     void record_success();
--- a/coordination/clock_tick.h
+++ b/coordination/clock_tick.h
@@ -4,7 +4,7 @@
 
 namespace persimmonstile {
 
-// Reports that time has passed, so deadlines may have expired.
+// Event that reports that time has passed, so that expired deadlines are handled.
 struct clock_tick {
     static constexpr auto members() { return std::make_tuple(); }
 };
--- a/coordination/ejection.cpp
+++ b/coordination/ejection.cpp
@@ -8,8 +8,10 @@
 
 namespace {
 
-// Maximum probability that the consecutive failures behind an ejection are chance.
+// Maximum probability that the consecutive failures that lead to an ejection occurred by chance.
 constexpr double max_chance = 1e-3;
+
+// Bounds of the number of consecutive failures that lead to an ejection.
 constexpr std::uint32_t min_failures = 3;
 constexpr std::uint32_t max_failures = 20;
 
@@ -57,13 +59,13 @@
         ceiling_step_ *= 2;
         ceiling_raised_ = now;
     }
-    // A larger window has no effect because the slots limit the load, and the window must not overflow.
+    // Prevents an overflow. The slots limit the load before the window becomes this large.
     constexpr std::uint32_t max_window = 1U << 20;
     window_ = std::min({window_ + 1, ceiling_, max_window});
 }
 
 void ejection::failed(bool same_job) {
-    // Otherwise a defective backend server that fails tasks quickly would keep freeing capacity for more.
+    // Otherwise a defective backend server that fails tasks quickly would always have free slots for more.
     if (++failures_in_a_row_ >= failures_to_restart)
         window_ = 1;
     if (same_job)
@@ -81,7 +83,7 @@
     } else {
         window_ = 1;
     }
-    // Refusals of the same batch count once.
+    // Refusals of the same batch lengthen the pause only once.
     if (now < paused_until_)
         return;
     pause_ = std::clamp<std::chrono::nanoseconds>(2 * pause_, initial_pause, max_pause);
--- a/coordination/ejection.h
+++ b/coordination/ejection.h
@@ -7,7 +7,7 @@
 
 namespace persimmonstile {
 
-// Reason for which a backend server is ejected.
+// Why a backend server is ejected.
 enum class ejection_cause : std::uint8_t { none, failures, silence, slowness };
 
 // Decides when a backend server is ejected, when it is probed, and how quickly its load increases after it is
@@ -15,8 +15,8 @@
 // once.
 class ejection {
 public:
-    // Sets the window, the maximum number of tasks at a backend server that is new or returns from an
-    // interruption.
+    // Sets the window, which is the maximum number of tasks at the backend server, and removes the ceiling.
+    // For a backend server that is new or returns from an interruption.
     void start_with(std::uint32_t window);
 
     // Records that a task succeeded. Raises the window by one task, up to the ceiling learned from refusals.
@@ -36,10 +36,10 @@
     // Ejects the backend server and schedules a probe. The backoff before the probe doubles with each
     // ejection until enough successes reset it.
     void eject(ejection_cause cause, time_point now);
-    // Ends the ejection after a probe or an earlier task has shown that the backend server works again. Its
-    // load increases gradually from the given window.
+    // Ends the ejection after a probe or a task sent earlier has shown that the backend server works again.
+    // Its load increases gradually from the given window.
     void readmit(std::uint32_t window);
-    // Allows another probe now, because one successful probe is not enough.
+    // Allows the next probe at once. Used after a successful probe that is not enough evidence to readmit.
     void probe_again(time_point now) { probe_at_ = now; }
     // Records that a probe was sent. The next one is due after a longer backoff.
     void probe_sent(time_point now);
@@ -49,7 +49,7 @@
     time_point probe_at() const { return probe_at_; }
     std::uint32_t window() const { return window_; }
 
-    // After refusals, no task is to be sent before this time.
+    // After a refusal no task is sent before this time.
     time_point paused_until() const { return paused_until_; }
 
 private:
@@ -62,13 +62,17 @@
     // Successes since the last ejection.
     std::uint32_t successes_ = 0;
     std::uint32_t window_ = 1;
+    // Limit of the window that was learned from refusals, the next step by which it is raised, and when it
+    // was last changed.
     std::uint32_t ceiling_ = 0;
     std::uint32_t ceiling_step_ = 1;
     float failure_ratio_ = 0;
     time_point ceiling_raised_;
     time_point probe_at_;
     time_point paused_until_;
+    // Time between an ejection or a probe and the next probe.
     std::chrono::nanoseconds backoff_{0};
+    // Time after a refusal in which no task is sent.
     std::chrono::nanoseconds pause_{0};
 };
 
--- a/coordination/end_acknowledger.h
+++ b/coordination/end_acknowledger.h
@@ -41,6 +41,7 @@
         }
     }
 
+    // Recorded ends above the first number that is not yet recorded.
     std::set<std::uint64_t> recorded_;
     std::uint64_t acknowledged_ = 0;
     bool has_listed_ = false;
--- a/coordination/speed_estimate.cpp
+++ b/coordination/speed_estimate.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// Weight of the prior in samples. It is small because the first run times on a machine predict its speed
-// better than the average of other machines does.
+// Weight of the prior, as a number of samples. It is small because the first run times on a machine predict
+// its speed better than the average of other machines does.
 constexpr std::uint32_t prior_samples = 2;
 
-// ln 4. Limits the effect of a sample to that of one 4 times higher or lower than expected.
+// ln 4. A sample has at most the effect of one that is 4 times higher or lower than expected.
 constexpr double outlier_limit = 1.386;
 
 // With task sizes that vary by a factor of e, 8% of the samples are high outliers. Four in a row occur by
@@ -24,7 +24,7 @@
 constexpr double change_weight = 0.5;
 constexpr std::uint32_t samples_after_change = 2;
 
-// Lower bound for the logarithm; smaller values are below the resolution of the reports.
+// Smaller values are raised to this before the logarithm is taken. It is below the resolution of the reports.
 constexpr double min_value = 1e-6;
 
 double log_of(double value) {
