--- a/coordination/grant_set.h
+++ b/coordination/grant_set.h
@@ -9,8 +9,8 @@
 
 namespace persimmonstile {
 
-// Smallest size at which any two subsets of a set with this size share a member. An empty set has no
-// majority.
+// Number of members that form a majority of a set of this size. Any two majorities share a member. The result
+// for an empty set is 1, so an empty set never has a majority.
 constexpr std::size_t majority_of(std::size_t size) {
     return size / 2 + 1;
 }
--- a/coordination/grantor.cpp
+++ b/coordination/grantor.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-// Shared by all recovery requests of one incarnation, since every reply to them was sent after it started.
+// All recovery requests of one incarnation use the same nonce, because every reply to any of them was sent
+// after the incarnation started.
 constexpr std::uint64_t recovery_nonce = 1;
 
 } // namespace
@@ -31,7 +32,7 @@
     if (recovering_)
         return reply;
     reply.silent_owners = silent_owners(now);
-    // An entry with an older table may count a majority of an older grantor set.
+    // An entry with an older table may count its grants against the majority of an older grantor set.
     if (request.version < table_.version)
         return reply;
     reply.granted = request.revision >= own_revision;
@@ -116,8 +117,9 @@
         recovering_ = false;
 }
 
-// Requires a majority of the whole set, not only of the other members. With an even number of grantors, a
-// majority of the others could miss the majority that acknowledged a table with one more grantor.
+// Requires replies from a majority of the whole set, not only of the other members. With an even number of
+// grantors, a majority of the others may not overlap the majority that acknowledged a table with one more
+// grantor.
 void grantor::check_recovery_majority(time_point now) {
     if (!recovering_)
         return;
@@ -137,8 +139,9 @@
     recovering_ = false;
 }
 
-// The incarnation recorded last counts as live. Entries list live agents again periodically, so a delayed
-// message about an earlier incarnation cannot make this grantor drop the record of a live one.
+// The incarnation recorded last counts as the live one of its name. Entries send live agents again
+// periodically, so a delayed message about an earlier incarnation cannot make this grantor drop the record of
+// a live one.
 void grantor::record(const incarnation& agent, time_point now) {
     records_[agent] = std::nullopt;
     for (auto& [other, replaced_at] : records_) {
@@ -153,8 +156,8 @@
     });
 }
 
-// If no request arrived for the silence limit, this process was itself paused or disconnected, and its queue
-// may still hold requests from every owner. Silence is then measured from now.
+// If no request from any owner arrived within owner_silence_timeout, this process was itself paused or
+// disconnected, and its queue may still hold requests from every owner. Silence is then measured from now.
 void grantor::record_request_from(const incarnation& owner, time_point now) {
     if (now - last_request_at_ > owner_silence_timeout) {
         for (auto& [entry, heard_at] : owner_heard_at_)
--- a/coordination/grantor.h
+++ b/coordination/grantor.h
@@ -33,10 +33,12 @@
     // Only such a table lets a grantor start without recovery.
     table_ack push(const owner_table& table, time_point now);
 
-    // Request to send to all connected entries during recovery, at most once per renewal interval.
+    // Returns a request to send to all connected entries during recovery, at most once per renewal interval.
     std::optional<recovery_request> recovery_due(time_point now);
-    // Reply to another grantor or to a new owner; nullopt while this grantor is itself recovering.
+    // Returns the reply to another grantor or to a new owner; nullopt while this grantor is itself
+    // recovering.
     std::optional<recovery_reply> answer(const recovery_request& request) const;
+    // Handles another grantor's reply to the request of recovery_due.
     void recovered(const recovery_reply& reply, time_point now);
 
     // True until this grantor may grant leases. An agent that may become a grantor recovers before the table
@@ -61,15 +63,19 @@
     incarnation self_;
     owner_table table_;
     bool recovering_ = true;
-    // Version of the received table without grantors, until the next table arrives.
+    // Version of table_ if it was received without grantors during recovery.
     std::optional<table_version> bootstrap_table_version_;
+    // Names of the grantors that replied to a recovery request.
     std::set<std::string> recovery_repliers_;
+    // Time of the latest recovery request.
     std::optional<time_point> asked_at_;
+    // Set once a majority has replied; one grant period after that.
     std::optional<time_point> recovery_ends_at_;
+    // Time from which each owner's silence is measured.
     std::map<incarnation, time_point> owner_heard_at_;
     time_point last_request_at_;
-    // Recorded agent incarnations. The value is the time at which another incarnation of the same name was
-    // recorded, if any.
+    // Recorded agent incarnations. The value is the time at which a later record of the same name replaced
+    // this one, if any.
     std::map<incarnation, std::optional<time_point>> records_;
 };
 
--- a/coordination/key_value_store.h
+++ b/coordination/key_value_store.h
@@ -15,7 +15,7 @@
 //
 // get returns the current value.
 //
-// compare_and_swap writes only if the key still has the expected revision (0: the key must not exist).
+// compare_and_swap writes the value only if the key has the expected revision (0: the key must not exist).
 //
 // wait_for_change returns as soon as the key changes after the given revision. It returns store_missing if
 // the key was deleted and store_unchanged after the timeout.
@@ -27,11 +27,10 @@
     { store.wait_for_change(key, revision, timeout) } -> std::same_as<wait_result>;
 };
 
-// Writes with compare_and_swap and retries the same swap if the response is lost. Reading back instead could
-// return a stale value from a replica. If the first swap took effect, the retry loses the race and returns
-// the current value, in which is_own_write recognizes the operation id. Returns store_unavailable only if
-// every attempt went without a response; may_have_applied is then set if any of the attempts could have taken
-// effect.
+// Writes with compare_and_swap and retries the same swap if the response is lost. A read could instead return
+// a stale value from a replica. If the first swap took effect, the retry loses the race and returns the
+// current value, in which is_own_write recognizes the operation id. Returns store_unavailable only if no
+// attempt got a response; may_have_applied is then set if any attempt could have taken effect.
 template <key_value_store Store, std::predicate<const std::string&> Own_write>
 swap_result swap_with_confirmation(Store& store, const std::string& key, const std::string& value,
                                    store_revision expected, int attempts, const Own_write& is_own_write) {
@@ -53,7 +52,7 @@
 }
 
 // Reads through a transaction whose comparison always fails. The store orders transactions with writes, while
-// a plain get may return a stale value from a replica. The call counts as a write against the store's rate
+// a plain get may return a stale value from a replica. The call counts as a write towards the store's rate
 // limit.
 template <key_value_store Store> get_result get_ordered_with_writes(Store& store, const std::string& key) {
     constexpr store_revision never = std::numeric_limits<std::int64_t>::max();
@@ -68,7 +67,7 @@
     return store_unavailable{std::get<store_unavailable>(result).detail, false};
 }
 
-// Keys of one cell.
+// Keys of the owner table and the configuration of one cell.
 inline std::string owner_table_key(const std::string& cell) {
     return "persimmonstile/" + cell + "/owner_table";
 }
--- a/coordination/member_directory.cpp
+++ b/coordination/member_directory.cpp
@@ -101,7 +101,7 @@
 
 std::optional<incarnation> member_directory::owner_of(const incarnation& session) const {
     incarnation current = session;
-    // A chain has at most one link per adoption; the bound guards against a cycle.
+    // Follows the adoptions from session to successor. The bound guards against a cycle.
     for (std::size_t i = 0; i <= adoptions_.size(); ++i) {
         const auto adopted = adoptions_.find(current);
         if (adopted == adoptions_.end()) {
--- a/coordination/member_directory.h
+++ b/coordination/member_directory.h
@@ -35,7 +35,7 @@
     void apply(const store_item& item, time_point now);
 
     const std::map<std::string, entry_state>& entries() const { return entries_; }
-    // Keyed by the deposed session.
+    // Adoptions by deposed session.
     const std::map<incarnation, adoption_state>& adoptions() const { return adoptions_; }
     const std::map<std::string, agent_record>& agents() const { return agents_; }
     const entry_state* find_entry(const std::string& name) const;
@@ -43,20 +43,22 @@
     std::uint64_t version() const { return version_; }
 
     bool is_alive(const incarnation& session) const;
-    // Time since which the session's liveness key has been missing; empty if the key exists.
+    // Time since which the session's liveness key has been missing; empty if the key exists. If the key was
+    // never seen, this is the time of the last listing.
     std::optional<time_point> missing_since(const incarnation& session) const;
 
-    // The session that owns the jobs accepted by the given session: the session itself or its last successor.
-    // Empty if that session is deposed and has no successor yet.
+    // Returns the session that owns the jobs accepted by the given session: the session itself or its last
+    // successor. Empty if that owner is deposed and has no successor yet.
     std::optional<incarnation> owner_of(const incarnation& session) const;
 
 private:
     std::map<std::string, entry_state> entries_;
     std::map<incarnation, adoption_state> adoptions_;
     std::map<std::string, agent_record> agents_;
-    // Text forms of the sessions that have a liveness key.
+    // Sessions that have a liveness key, as returned by session_text.
     std::set<std::string> alive_;
     std::map<std::string, time_point> missing_since_;
+    // Time of the last listing.
     time_point reset_at_{};
     std::uint64_t version_ = 0;
 };
--- a/coordination/orphan_runs.cpp
+++ b/coordination/orphan_runs.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Delay before a query is retried after the store did not answer.
+// Delay before a query that the store did not answer is retried.
 constexpr milliseconds retry_delay{200};
 
 } // namespace
@@ -46,7 +46,7 @@
     }
     const orphan run = found->second.run;
     checks_.erase(found);
-    // The owner of an open job claims its runs.
+    // A run of an open job is claimed by the job's owner.
     if (status != nullptr && !is_final(status->state))
         return std::nullopt;
     return run;
--- a/coordination/orphan_runs.h
+++ b/coordination/orphan_runs.h
@@ -13,8 +13,8 @@
 
 namespace persimmonstile {
 
-// Tracks runs that restarted agents found on their backend servers and that no entry has claimed. A run is
-// orphaned if its job is not in the store or has ended, because no entry will claim it then.
+// Tracks runs that restarted agents found on their backend servers and that no entry has claimed. A run is an
+// orphan if its job is not in the store or has ended: no entry will claim it.
 class orphan_runs {
 public:
     struct orphan {
@@ -22,21 +22,21 @@
         run_report report;
     };
 
-    // is_shared: the agent reports the run to all entries, of which only one needs to query the store.
+    // is_shared: the agent reports the run to all entries, and only one of them needs to query the store.
     void add(agent_number agent, const run_report& report, bool is_shared, time_point now);
 
-    // Ids of the store queries that are due, each with the job whose record is to be read. Shared runs are
-    // included only if includes_shared is set.
+    // Returns the store queries that are due: the id of the query and the job whose record it reads. Shared
+    // runs are included only if includes_shared is set.
     std::vector<std::pair<std::uint64_t, job_id>> take_questions(bool includes_shared, time_point now);
 
-    // Handles the store's reply. Returns the run if no entry will claim it.
+    // Handles the store's reply to a query. Returns the run if it is an orphan.
     std::optional<orphan> answered(std::uint64_t question, const store_reply& answer, time_point now);
 
 private:
     struct check {
         orphan run;
         bool is_shared = false;
-        // 0 while no query is in flight.
+        // Id of the query in flight; 0 if there is none.
         std::uint64_t question = 0;
         time_point ask_at{};
     };
--- a/coordination/ownership.cpp
+++ b/coordination/ownership.cpp
@@ -81,8 +81,8 @@
     ownership_actions actions;
     agent_state& state = agents_[agent.name];
     if (state.id != agent) {
-        // A lease from the earlier incarnation stays valid: a new owner waits until every grant given before
-        // its table was acknowledged has expired, even if the grantor has restarted.
+        // A lease from the earlier incarnation stays valid. Even if the grantor has restarted, a new owner
+        // waits until every grant that was given before its table was acknowledged has expired.
         const auto lease_until = state.lease_until;
         state = agent_state{};
         state.id = agent;
@@ -284,7 +284,7 @@
     return own;
 }
 
-// A takeover in progress continues across later versions for the partitions that they do not change.
+// A takeover in progress continues after a newer version for the partitions that the version does not change.
 void ownership::start_takeover(const owner_table& previous, const std::map<partition_id, epoch_number>& own) {
     std::map<partition_id, epoch_number> gained = own;
     for (const auto& [partition, epoch] : active_)
@@ -298,16 +298,16 @@
     if (gained.empty() && !own.contains(0))
         return;
     std::vector<std::vector<std::string>> sets{table_.grantors};
-    // Older sets need no majority of their own, because each change of the set is proposed only after a
-    // majority confirmed the preceding version.
+    // Grantor sets before the previous one need no majority of their own, because each change of the set is
+    // proposed only after a majority confirmed the preceding version.
     const bool follows = previous.version + 1 == table_.version && !previous.grantors.empty();
     if (follows && previous.grantors != table_.grantors)
         sets.push_back(previous.grantors);
     takeovers_.emplace_back(table_.version, std::move(sets), std::move(gained));
 }
 
-// Incarnations with this entry's name that are seen before it first writes itself into the table are earlier
-// ones. This includes an incarnation whose last write took effect late.
+// An incarnation with this entry's name is a predecessor if it is seen before this entry first writes itself
+// into the table. This includes an incarnation whose last write took effect late.
 void ownership::record_predecessors() {
     has_joined_ = has_joined_ || is_member();
     for (const entry_address& known : table_.entries) {
@@ -333,8 +333,8 @@
 }
 
 void ownership::advance_takeovers(time_point now, ownership_actions& actions) {
-    // A takeover completes only while this entry holds a lease. Without one its table may be stale, for
-    // example after a pause.
+    // A takeover completes only while this entry holds a lease. Without a lease, its table may be stale, for
+    // example after the process was paused.
     const bool holds_lease = lease_left(now).count() > 0;
     const auto is_done = [&](const takeover& pending) {
         return holds_lease && pending.is_complete();
@@ -381,7 +381,7 @@
     request.revision = revision_;
     request.sequence = ++sequence_;
     request.new_agents = agents_to_record(refresh);
-    // Replies after the grant period could only give leases that have already expired.
+    // A reply that arrives after the grant period could only grant a lease that has already expired.
     std::erase_if(sent_at_, [&](const auto& sent) { return now - sent.second >= grant_period; });
     sent_at_[sequence_] = now;
     for (const std::string& name : table_.grantors) {
@@ -389,7 +389,8 @@
         if (grantor != nullptr && grantor->connected)
             actions.sends.push_back({grantor->id, request});
     }
-    // Other agents do not reply to grant requests, so only a missing acknowledgement reveals a lost table.
+    // Agents that are not grantors send no grant replies, which would show that a table push was lost. The
+    // table is pushed to them again until they acknowledge it.
     const bool seeks_spares = owns(0, now) && table_.grantors.size() < maximum_grantors;
     for (const auto& [name, agent] : agents_) {
         const table_version reached = seeks_spares ? agent.acknowledged : agent.known;
@@ -398,7 +399,8 @@
     }
 }
 
-// Connected agents come last, because a grantor takes the last listed incarnation of a name for the live one.
+// Lists connected agents last, because a grantor treats the last listed incarnation of a name as the live
+// one.
 std::vector<incarnation> ownership::agents_to_record(bool refresh) const {
     std::vector<incarnation> agents;
     for (const auto& [agent, record] : pending_records_) {
@@ -430,8 +432,8 @@
     }
 }
 
-// A majority must hold the record at the same instant: a grantor that restarts before the majority is
-// complete may have recovered without the record.
+// A majority must hold the record at the same instant. A grantor that confirmed the record and restarted
+// before the majority was complete may have recovered without it.
 bool ownership::is_confirmed(const pending_record& record) const {
     std::vector<record_confirmation> current;
     for (const std::string& name : table_.grantors) {
@@ -450,8 +452,8 @@
     });
 }
 
-// A new grantor lacks older records, and the copies of a removed grantor are lost. Before the set changes
-// again, a majority of the current set must hold every record.
+// A new grantor lacks older records, and the copies of a removed grantor are lost. Before the grantor set
+// changes again, a majority of the current set must therefore hold every record.
 void ownership::inherit_records(const takeover& completed) {
     for (const incarnation& agent : completed.recorded())
         pending_records_[agent] = pending_record{true, {}};
@@ -593,8 +595,8 @@
     return change;
 }
 
-// Only one entry proposes changes of the grantor set, and only on a version that a majority has confirmed. A
-// later owner therefore never needs to consider older sets.
+// Only the owner of partition 0 proposes changes of the grantor set, and only on a version that a majority
+// has confirmed. A later owner therefore needs to consider only the current set and the previous one.
 std::optional<ownership::grantor_change> ownership::plan_grantors(time_point now) const {
     if (leaving_ || !owns(0, now) || settled_version_ != table_.version || has_inherited_records())
         return std::nullopt;
@@ -607,10 +609,11 @@
     const bool may_shrink = size > minimum_grantors_ || !spares.empty();
     if (absent && size > 1 && may_shrink && healthy >= majority_of(size - 1))
         return grantor_change{*absent, false};
-    // An even number tolerates no more failures than the odd number below it, so it is only transitional.
+    // An even number of grantors tolerates no more failures than the odd number below it. An odd set
+    // therefore grows only if there are spares for two additions, one per table version.
     const std::size_t needed_spares = size % 2 == 0 ? 1 : 2;
-    // The spare may restart before it learns that the table names it, so the others must form a majority
-    // without it. A single grantor is exempt, because it could never gain a second one under this rule.
+    // The spare may restart before it learns that the table names it, so the other grantors must form a
+    // majority without it. A single grantor is exempt, because this rule would never allow a second one.
     const bool keeps_majority = healthy >= majority_of(size + 1) || size == 1;
     if (size < maximum_grantors && spares.size() >= needed_spares && keeps_majority)
         return grantor_change{spares.front(), true};
@@ -626,8 +629,8 @@
     return std::nullopt;
 }
 
-// Stable agents that acknowledged the table while not recovering. The grantor set thus never gains a grantor
-// that cannot grant yet and could not help another grantor to recover.
+// Returns stable agents that acknowledged the table while not recovering. A recovering agent cannot grant yet
+// and could not help another grantor to recover, so it is never added to the set.
 std::vector<std::string> ownership::spare_agents(time_point now) const {
     std::vector<std::string> spares;
     for (const auto& [name, agent] : agents_) {
@@ -644,7 +647,7 @@
         if (agent.connected && agent.accepts_first_table && grantors.size() < maximum_grantors)
             grantors.push_back(name);
     }
-    // An even number tolerates no more failures than the odd number below it.
+    // An even number of grantors tolerates no more failures than the odd number below it.
     if (grantors.size() % 2 == 0 && grantors.size() > minimum_grantors_)
         grantors.pop_back();
     return grantors;
--- a/coordination/ownership.h
+++ b/coordination/ownership.h
@@ -23,40 +23,40 @@
 // Outcome of a table write.
 enum class table_write_result : std::uint8_t { committed, lost_race, unavailable };
 
-// The entry's side of partition ownership: joins the owner table, renews grants, detects silent owners, takes
-// over their partitions and leaves. Deterministic and without I/O; the caller performs the returned actions
-// and reports their results.
+// The entry's side of partition ownership. It joins the owner table, renews its grants, detects silent
+// owners, takes over their partitions and leaves the table at the end. Deterministic and without I/O; the
+// caller performs the returned actions and reports their results.
 class ownership {
 public:
     // self and address are written into the table. minimum_grantors is the number of connected agents that
     // the first entry waits for before it creates the table.
     ownership(incarnation self, std::string address, std::size_t minimum_grantors);
 
-    // The answer to a read_table action: the store's table, with its modification revision; nullopt if the
-    // key does not exist. Tables from a watch go to table_received, because only a read that was asked for
-    // is known to be recent.
+    // Handles the result of a read_table action: the store's table and its modification revision; nullopt if
+    // the key does not exist. A table from a watch goes to table_received, because only a read that was
+    // requested is known to be recent.
     ownership_actions table_read(const std::optional<owner_table>& table, std::int64_t mod_revision,
                                  time_point now);
     // The store could not be read. The read is retried after a backoff.
     ownership_actions table_unavailable(time_point now);
     ownership_actions table_written(table_write_result result, time_point now);
 
-    // A table from a peer. Older versions are ignored.
+    // Handles a table from a peer or a watch. Older versions are ignored.
     ownership_actions table_received(const owner_table& table, time_point now);
 
     ownership_actions agent_connected(const incarnation& agent, time_point now);
     ownership_actions agent_disconnected(const incarnation& agent, time_point now);
     ownership_actions grant_replied(const grant_reply& reply, time_point now);
     ownership_actions table_acknowledged(const table_ack& ack, time_point now);
-    // Handles a reply to a request of this entry. The caller forwards replies to requests of others.
+    // Handles a reply to a recovery request of this entry. The caller forwards replies to other requesters.
     ownership_actions records_replied(const recovery_reply& reply, time_point now);
 
     // Sets the configuration revision that grant requests carry.
     void set_revision(config_revision revision);
 
-    // Starts leaving: the partitions move to the other entries. left() becomes true when the table no longer
-    // names this entry, or at once if no other entry could take over.
+    // Starts to leave the table: the partitions move to the other entries.
     ownership_actions leave(time_point now);
+    // True after leave() once the table no longer names this entry, or if no other entry could take over.
     bool left() const;
 
     // Performs the steps that are due. Must be called at least every 50 ms.
@@ -67,14 +67,14 @@
     // True if this entry may act for the partition now.
     bool owns(partition_id partition, time_point now) const;
     bool is_recorded(const incarnation& agent) const;
-    // True while the table names a later process with the same entry name. This process joins again only if
-    // the later one falls silent.
+    // True while the table names a later process with the same entry name. This process joins again only
+    // after the later one has become silent.
     bool is_replaced() const;
     const owner_table& table() const { return table_; }
 
 private:
-    // Time at which one grantor first confirmed an agent's record, and sending time of the latest request
-    // that it confirmed.
+    // One grantor's confirmation of an agent's record: the time at which the first reply arrived, and the
+    // time at which the latest confirmed request was sent.
     struct record_confirmation {
         time_point first_received;
         time_point last_sent;
@@ -85,7 +85,7 @@
         time_point first_connected_at;
         // Time of the last connect or disconnect.
         time_point changed_at;
-        // Newest version known to this incarnation, and newest version that it acknowledged while not
+        // Newest table version that this incarnation knows, and newest that it acknowledged while not
         // recovering.
         table_version known = 0;
         table_version acknowledged = 0;
@@ -94,14 +94,16 @@
         // Sending time of the latest request that was answered.
         std::optional<time_point> answered;
         std::optional<time_point> lease_until;
+        // Owners that the agent reported as silent in its latest reply.
         std::vector<incarnation> silent;
-        // It acknowledged a table without grantors from a read that began after it connected, so it can
-        // accept the first table without recovery.
+        // The agent acknowledged a table without grantors that was read after it connected, so it can accept
+        // the first table without recovery.
         bool accepts_first_table = false;
+        // A majority of the grantors confirmed the record of this incarnation.
         bool recorded = false;
     };
-    // An agent whose record is not yet confirmed by a majority of the grantors, with the confirmations so
-    // far. Inherited agents were recorded under an earlier table and may have ended since.
+    // Confirmations of an agent's record until a majority of the grantors has confirmed it. An inherited
+    // agent was recorded under an earlier table and may have ended since.
     struct pending_record {
         bool inherited = false;
         std::map<incarnation, record_confirmation> confirmations;
@@ -165,32 +167,38 @@
     // Partitions that this entry may act for while it holds a majority of grants.
     std::map<partition_id, epoch_number> active_;
     std::vector<takeover> takeovers_;
+    // Latest version whose takeover completed while it was the current version.
     table_version settled_version_ = 0;
 
     std::map<std::string, agent_state> agents_;
     std::map<incarnation, pending_record> pending_records_;
     std::uint64_t sequence_ = 0;
+    // Sending times of grant requests, by sequence number.
     std::map<std::uint64_t, time_point> sent_at_;
     std::optional<time_point> renew_at_;
     std::optional<time_point> refreshed_at_;
     std::optional<time_point> asked_for_table_at_;
 
     store_rate_limiter store_rate_limiter_;
+    // Time at which the pending table change is proposed.
     std::optional<time_point> change_at_;
     std::optional<time_point> read_asked_at_;
     std::optional<bootstrap_read> bootstrap_read_;
     std::optional<time_point> bootstrap_table_pushed_at_;
     // Modification revision of table_ in the store, if it was read.
     std::optional<std::int64_t> mod_revision_;
+    // Table of the write in flight.
     std::optional<owner_table> writing_;
-    // Operation id of a write whose answer was lost.
+    // Operation id of a write whose result is unknown.
     std::string unresolved_operation_;
     std::uint64_t operations_ = 0;
 
     bool leaving_ = false;
+    // All other entries in the table are silent.
     bool is_only_entry_ = false;
-    // Whether a table with this entry was written, and the incarnations with its name seen before that.
+    // A table that names this entry was received, or its write was sent.
     bool has_joined_ = false;
+    // Incarnations with this entry's name that were seen before it joined.
     std::set<incarnation> predecessors_;
 };
 
--- a/coordination/ownership_actions.h
+++ b/coordination/ownership_actions.h
@@ -10,20 +10,20 @@
 
 namespace persimmonstile {
 
-// A control message for one connected agent.
+// A control message to be sent to a connected agent.
 struct control_send {
     incarnation to;
     control_message message;
 };
 
-// A conditional table write: it applies only if the stored value still has modification revision expected_mod
-// (0: the key must not exist).
+// A conditional table write. It takes effect only if the stored value still has modification revision
+// expected_mod (0: the key must not exist).
 struct table_write {
     owner_table table;
     std::int64_t expected_mod = 0;
 };
 
-// Actions that the entry performs after an event, in the order of the members.
+// Actions that the entry performs after an event, in the order in which the members are declared.
 struct ownership_actions {
     std::vector<control_send> sends;
     std::vector<partition_gain> gained;
--- a/coordination/partition_gain.h
+++ b/coordination/partition_gain.h
@@ -8,12 +8,13 @@
 
 namespace persimmonstile {
 
-// Reports that this entry now owns the partition. suspects are all agent incarnations that may have started
-// tasks under earlier epochs; empty with is_first_epoch set means that there was no earlier owner.
+// Reports that this entry now owns the partition.
 struct partition_gain {
     partition_id partition = 0;
     epoch_number epoch = 0;
     bool is_first_epoch = false;
+    // All agent incarnations that may have started tasks under earlier epochs. Empty if is_first_epoch is
+    // set, because there was no earlier owner.
     std::vector<incarnation> suspects;
 
     static constexpr auto members() {
--- a/coordination/prefix_view.cpp
+++ b/coordination/prefix_view.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-// A listing is short, but the store may be slow.
+// A listing is answered quickly unless the store is slow.
 constexpr milliseconds list_timeout{600};
-// Minimum of slack_, which covers network delay and a slow store. It doubles after each
-// failure, up to max_slack, because the process may be too busy to read its replies in time.
+// Bounds of slack_, which allows for network delay and a slow store. It doubles after each failure, because
+// the process may be too busy to read its replies in time, and returns to the minimum after a reply.
 constexpr milliseconds min_slack{400};
 constexpr milliseconds max_slack{2000};
-// If a change that another process has seen does not arrive within this time, the watch counts as lost.
+// If the watch does not deliver a change that another process has seen within this time, it counts as lost.
 constexpr milliseconds expectation_timeout{150};
 constexpr milliseconds failure_backoff{60};
 
@@ -84,7 +84,7 @@
         return;
     }
     listing_after_.clear();
-    // A stale listing must not undo newer changes.
+    // A listing that is older than the items must not undo their changes.
     if (listing_revision_ < revision_)
         return;
     take_listing();
@@ -94,8 +94,8 @@
     confirmed_ = sent_;
 }
 
-// The revision of the listing belongs to the whole store. It does not tell when these items changed, only
-// that a missing item was removed before it.
+// The revision of the listing is that of the whole store. It does not show when these items changed; it only
+// shows that an item missing from the listing was removed before that revision.
 void prefix_view::take_listing() {
     std::map<std::string, store_item> items;
     std::uint64_t changed = 0;
--- a/coordination/prefix_view.h
+++ b/coordination/prefix_view.h
@@ -22,13 +22,15 @@
         milliseconds timeout{0};
     };
 
-    // watch_wait is how long a watch stays open at the store. A dead connection is detected soon after it.
+    // watch_wait is how long the store keeps a watch open. A dead connection is detected soon after that
+    // time.
     prefix_view(std::string prefix, milliseconds watch_wait);
 
+    // Returns the store calls to make now.
     std::vector<call> take_calls(time_point now);
     void replied(std::uint64_t id, const store_reply& reply, time_point now);
-    // Another process has seen a change at this revision. If the watch does not deliver it soon, the keys are
-    // listed again.
+    // Reports that another process has seen a change at this revision. If the watch does not deliver it soon,
+    // the keys are listed again.
     void expect(std::uint64_t revision, time_point now);
     std::optional<time_point> next_wakeup() const;
 
@@ -39,8 +41,9 @@
     std::uint64_t change_revision() const { return change_revision_; }
     // Returns true once after each change of the items, including the first listing.
     bool take_change();
-    // Whether the items were listed, and when the store last confirmed that they are current.
+    // True after the first complete listing.
     bool is_known() const { return is_known_; }
+    // Sending time of the last call whose reply confirmed that the items are current.
     time_point confirmed() const { return confirmed_; }
 
 private:
@@ -52,14 +55,16 @@
     milliseconds watch_wait_;
     std::map<std::string, store_item> items_;
     std::vector<store_item> listing_;
+    // Last key of the pages received so far; empty if no listing is in progress.
     std::string listing_after_;
     std::uint64_t listing_revision_ = 0;
     std::uint64_t revision_ = 0;
     std::uint64_t change_revision_ = 0;
     std::uint64_t expected_revision_ = 0;
     time_point expected_since_{};
-    // Added to watch_wait to get the timeout of a watch.
+    // Added to watch_wait_ to get the timeout of a watch call.
     milliseconds slack_;
+    // The items can be updated from a watch; otherwise they must be listed first.
     bool is_listed_ = false;
     bool is_known_ = false;
     bool has_changed_ = false;
--- a/coordination/session_keeper.cpp
+++ b/coordination/session_keeper.cpp
@@ -9,20 +9,21 @@
 
 namespace {
 
-// The shortest lease that survives two lost renewals. Other entries adopt the jobs after it has expired.
+// The shortest lease that survives two lost renewals. Other entries adopt this entry's jobs after it expires.
 constexpr milliseconds lease_time{2000};
 constexpr milliseconds renewal_interval{600};
 
-// A watch is renewed at this interval, so that a dead connection is detected.
+// A watch ends after this time and is started again, so that a dead connection is detected.
 constexpr milliseconds watch_wait{3000};
 constexpr milliseconds watch_slack{500};
 
-// After a store outage, sessions whose liveness keys expired write them again within about this time if their
-// processes are alive.
+// Sessions are not adopted for this long after a store outage. Live processes whose liveness keys expired
+// during the outage write them again within about this time.
 constexpr milliseconds return_grace{2000};
 // A liveness key may be missing briefly while its lease is replaced.
 constexpr milliseconds missing_grace{300};
-// Delay per position among the live entries, so that adoptions by different entries rarely race.
+// Each live entry waits this long per live entry whose name sorts before its own, so that entries rarely race
+// to adopt the same session.
 constexpr milliseconds adoption_stagger{120};
 
 constexpr milliseconds failure_backoff{60};
@@ -31,10 +32,10 @@
 constexpr milliseconds shortest_timeout{80};
 constexpr milliseconds longest_timeout{1000};
 
-// Maximum number of agents recorded per write. The store accepts 32 conditions and values in total.
+// Maximum number of agents recorded per write. The store accepts 32 conditions and values in total per write.
 constexpr std::size_t max_agents_per_write = 15;
 
-// Interval at which the members are checked while nothing else is due.
+// Interval of the checks for expired sessions while nothing else is due.
 constexpr milliseconds idle_interval{100};
 
 } // namespace
@@ -64,7 +65,7 @@
                        [&](const auto& entry) { return entry.second.why == why; });
 }
 
-// ---- Due steps ----
+// --- due steps ---
 
 std::vector<session_keeper::call> session_keeper::take_calls(time_point now) {
     if (now >= not_before_) {
@@ -198,7 +199,7 @@
 void session_keeper::begin(std::uint64_t revision, time_point now) {
     session_ = candidate_;
     entry_revision_ = revision;
-    // The liveness key was written with the claim. If it has expired since, the watch reports that.
+    // The claim also wrote the liveness key. If the key has expired since, the watch reports that.
     is_liveness_key_written_ = true;
     phase_ = phase::active;
     note("session begins", {{"session", session_text(session_)},
@@ -264,19 +265,19 @@
     send(purpose::write_liveness_key, std::move(write), timeout(), now);
 }
 
-// ---- Adoption ----
+// --- adoption ---
 
 void session_keeper::adopt_expired_sessions(time_point now) {
     if (!is_view_current_ || failing_since_ || session_.name.empty())
         return;
-    // Writes whose replies were lost may have made this session a successor.
+    // An adoption whose reply was lost may have taken effect.
     for (const auto& [former, state] : members_.adoptions()) {
         if (state.record.successor != session_ || pending_.contains(former) || loaded_.contains(former))
             continue;
         pending_[former].result.record = state.record;
         pending_[former].result.may_live = true;
     }
-    // Position among the live entries.
+    // Number of live entries whose names sort before this entry's name.
     std::uint64_t position = 0;
     for (const auto& [name, state] : members_.entries()) {
         if (members_.is_alive(state.record.session) && name < session_.name)
@@ -338,7 +339,7 @@
     }
     if (!is_ours) {
         pending_.erase(found);
-        // A write without a reply may have taken effect; listing the members again shows whether it did.
+        // A write without a reply may have taken effect. Listing the members again shows whether it did.
         is_view_current_ = false;
         return;
     }
@@ -405,7 +406,7 @@
     send(purpose::forget, std::move(write), timeout(), now);
 }
 
-// ---- Agents ----
+// --- agents ---
 
 void session_keeper::need_agents(const std::vector<agent_record>& agents, time_point) {
     needed_agents_.clear();
@@ -429,7 +430,7 @@
         send(purpose::agents, std::move(write), timeout(), now);
 }
 
-// ---- Replies ----
+// --- replies ---
 
 void session_keeper::replied(std::uint64_t id, const store_reply& reply, time_point now) {
     const auto found = sent_.find(id);
@@ -488,7 +489,7 @@
         return;
     case purpose::agents:
         if (const auto* applied = std::get_if<write_applied>(&reply)) {
-            // The watch delivers these records too, but later.
+            // The watch delivers these records too, but later than this reply.
             for (const agent_record& agent : recording_)
                 members_.apply({agent_key(agent.name), agent, applied->revision}, now);
         }
@@ -537,7 +538,7 @@
     pending_.clear();
     adopted_.clear();
     loaded_.clear();
-    // Drops the calls of the old session, so that replies to them are ignored.
+    // Replies to calls of the old session are ignored from now on.
     sent_.clear();
 }
 
--- a/coordination/session_keeper.h
+++ b/coordination/session_keeper.h
@@ -18,8 +18,8 @@
 
 namespace persimmonstile {
 
-// Maintains an entry's session: writes its record to the store, keeps its liveness key under a lease, watches
-// the members and adopts the jobs of sessions that have ended. Deterministic and without I/O.
+// Maintains an entry's session. It writes the entry's record to the store, keeps the liveness key under a
+// lease, watches the members and adopts the jobs of sessions that have ended. Deterministic and without I/O.
 class session_keeper {
 public:
     struct call {
@@ -31,37 +31,39 @@
     // A former session whose open jobs now belong to this session, with the records of these jobs.
     struct adopted_jobs {
         session_adoption record;
-        // The process of the former session may still be running and act until it learns that it is deposed.
+        // The former session's process may still be running. It acts until it learns that it is deposed.
         bool may_live = false;
         std::vector<store_item> jobs;
     };
 
-    // next_number returns the number of each new session.
+    // next_number is called for each new session and returns its number.
     session_keeper(entry_record self, std::function<std::uint64_t()> next_number, std::uint64_t seed);
 
-    // Sessions that are connected to this process are not adopted.
+    // Sets the sessions that are connected to this process. They are not adopted.
     void set_connected(std::set<incarnation> sessions) { connected_ = std::move(sessions); }
 
     void replied(std::uint64_t id, const store_reply& reply, time_point now);
-    // A write under this session showed that it is deposed.
+    // A write failed because this session is deposed. Begins a new session.
     void deposed(time_point now);
-    // Leaves the jobs to the other entries. finished: there are no open jobs.
+    // Ends the session. If there are no open jobs, the entry's record is removed. Otherwise the
+    // record is marked as leaving, so that the other entries adopt the jobs without the usual grace periods.
     void leave(bool finished, time_point now);
     bool has_left() const { return phase_ == phase::left; }
 
-    // Records agents that are connected and not in the directory.
+    // Sets the agents that must be recorded in the store. Those without a record get one.
     void need_agents(const std::vector<agent_record>& agents, time_point now);
-    // True while jobs of a former session with a smaller succession depth are still being read.
+    // True while this session still adopts, or reads the jobs of, a session with a smaller adoption depth.
     bool is_adopting_below(std::uint32_t succession_count) const;
-    // The jobs of an adopted session have all ended; its record is not needed any more.
+    // All jobs of the adopted session have ended. Removes the record of the adoption.
     void adoption_done(const incarnation& former, time_point now);
 
+    // Returns the store calls to make now.
     std::vector<call> take_calls(time_point now);
     std::vector<adopted_jobs> take_adopted() { return std::exchange(adopted_, {}); }
     std::vector<decision> take_decisions() { return std::exchange(decisions_, {}); }
     time_point next_wakeup(time_point now) const;
 
-    // The name is empty while there is no session.
+    // The current session; its name is empty while there is none.
     const incarnation& session() const { return session_; }
     std::uint64_t entry_revision() const { return entry_revision_; }
     const member_directory& members() const { return members_; }
@@ -87,7 +89,7 @@
     struct sent_call {
         purpose why = purpose::list;
         time_point sent{};
-        // Set for an adoption or the listing of its jobs.
+        // The adopted session, for an adoption or a listing of its jobs.
         incarnation former;
     };
 
@@ -128,7 +130,7 @@
     phase phase_ = phase::listing;
     incarnation session_;
     std::uint64_t entry_revision_ = 0;
-    // The session that is being claimed, and the adoptions that go with it.
+    // The session that is being claimed, and the adoptions that are written with the claim.
     incarnation candidate_;
     std::vector<session_adoption> candidate_adoptions_;
 
@@ -148,7 +150,7 @@
     std::vector<adopted_jobs> adopted_;
     std::map<std::string, agent_record> needed_agents_;
     std::vector<agent_record> recording_;
-    // Former sessions whose jobs were already adopted.
+    // Adopted sessions whose jobs have been read.
     std::set<incarnation> loaded_;
 
     std::uint64_t last_id_ = 0;
--- a/coordination/store_keys.h
+++ b/coordination/store_keys.h
@@ -7,18 +7,19 @@
 
 namespace persimmonstile {
 
-// Keys used when jobs are kept in the store.
+// Keys of the records that are used if jobs are durable.
 
 // Prefix of all member records. All entries watch it.
 constexpr const char* member_prefix = "persimmonstile/m/";
-// Entries by name. The value is the session that may write; it outlives its process until it is replaced or
-// adopted.
+// Entry records by name. A record names the only session that may write for the entry. It stays after the
+// session's process has ended, until another session replaces or adopts the session.
 constexpr const char* entry_prefix = "persimmonstile/m/entry/";
-// Liveness keys, held under a lease. The key exists while the process of the session is alive.
+// Liveness keys of sessions. Each is attached to a lease that the session's process renews, so it disappears
+// after the process has ended.
 constexpr const char* alive_prefix = "persimmonstile/m/alive/";
 // Deposed sessions whose jobs another session has adopted.
 constexpr const char* adopted_prefix = "persimmonstile/m/adopted/";
-// Agents that may have runs.
+// Records of agents that may have runs.
 constexpr const char* agent_prefix = "persimmonstile/m/agent/";
 
 inline std::string entry_key(const std::string& name) {
--- a/coordination/store_lease.h
+++ b/coordination/store_lease.h
@@ -14,7 +14,7 @@
     std::chrono::seconds time_to_live{0};
 };
 
-// The lease has expired; the keys that were attached to it are gone.
+// The lease has expired, and the keys that were attached to it have been deleted.
 struct lease_expired {};
 
 using lease_grant_result = std::variant<store_lease, store_unavailable>;
--- a/coordination/store_rate_limiter.h
+++ b/coordination/store_rate_limiter.h
@@ -8,8 +8,9 @@
 
 namespace persimmonstile {
 
-// Limits the rate of an entry's store calls: at most one per second on average, two in succession only while
-// the store works, and a growing random backoff after failures and lost races.
+// Limits the rate of an entry's store calls to one per second on average. Two calls may follow each other
+// directly only if the store has not failed recently. Failures and lost races cause an exponential backoff
+// with jitter.
 class store_rate_limiter {
 public:
     explicit store_rate_limiter(std::uint64_t seed);
@@ -21,7 +22,7 @@
     void failed(time_point now);
     // Another writer changed the key first.
     void lost_race(time_point now);
-    // Uniformly distributed between zero and the bound.
+    // Returns a random delay, uniformly distributed between zero and the bound.
     std::chrono::nanoseconds jitter(std::chrono::nanoseconds bound);
 
 private:
--- a/coordination/store_results.h
+++ b/coordination/store_results.h
@@ -24,16 +24,16 @@
     store_revision mod_revision = 0;
 };
 
-// The key no longer had the expected revision; nothing was written. current is what the store held instead,
-// read in the same transaction, and empty if the key did not exist.
+// The key did not have the expected revision, so nothing was written. current is the value that the same
+// transaction read; empty if the key does not exist.
 struct store_lost_race {
     std::optional<stored_value> current;
 };
 
-// The timeout passed without a change.
+// The key did not change before the timeout.
 struct store_unchanged {};
 
-// No usable response. may_have_applied is set if a write could still have taken effect.
+// The store gave no usable response. may_have_applied is set if a write could still have taken effect.
 struct store_unavailable {
     std::string detail;
     bool may_have_applied = false;
--- a/coordination/succession.h
+++ b/coordination/succession.h
@@ -8,8 +8,8 @@
 
 namespace persimmonstile {
 
-// State of taking over a deposed session's jobs. Its tasks may be placed once every agent that may have runs
-// of that session has reported them and rejects the session's further orders.
+// Progress of the adoption of a deposed session's jobs. Their tasks may be placed once every agent that may
+// have runs of that session has reported them and rejects further orders of the session.
 struct succession {
     session_adoption record;
     // Names of the agents that have not replied yet.
--- a/coordination/table_change.h
+++ b/coordination/table_change.h
@@ -19,16 +19,16 @@
 };
 
 // Returns the next version of the table with the change applied. Partitions of removed entries move to the
-// least loaded others; a joining entry receives its fair share from the most loaded ones. Only moved
-// partitions get a new epoch. The table keeps at least one entry.
+// entries with the fewest partitions; a joining entry receives its fair share from those with the most. Only
+// moved partitions get a new epoch. At least one entry must remain.
 owner_table with_entries_changed(const owner_table& base, const entry_change& change);
 
-// Return the next version with one grantor added or removed. Majorities of two sets that differ by one member
-// always overlap; with larger steps they could be disjoint.
+// Return the next version of the table with one grantor added or removed. Any majorities of two sets that
+// differ by one member overlap; those of sets that differ by more could be disjoint.
 owner_table with_grantor_added(const owner_table& base, const std::string& name);
 owner_table with_grantor_removed(const owner_table& base, const std::string& name);
 
-// Returns the first table after one without grantors. All partitions belong to the creator.
+// Returns the first table with grantors, as the next version of base. All partitions belong to the creator.
 owner_table first_table(const owner_table& base, const entry_address& creator,
                         const std::vector<std::string>& grantors);
 
--- a/coordination/takeover.cpp
+++ b/coordination/takeover.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Number of nonce bits that hold the round within one table version.
+// Number of low bits of the nonce that hold the round; the others hold the table version.
 constexpr unsigned round_bits = 20;
 
 template <typename Predicate>
@@ -43,7 +43,7 @@
     };
     if (!majority_of_each(grantor_sets_, is_ready))
         return asked;
-    // All members of a group must hold their acknowledgement at the same instant, so confirmations of
+    // All grantors of a group must hold their acknowledgement at the same instant, so confirmations of
     // different groups are never combined.
     if (ready != asked_) {
         asked_ = std::move(ready);
--- a/coordination/takeover.h
+++ b/coordination/takeover.h
@@ -16,19 +16,20 @@
 
 namespace persimmonstile {
 
-// Tracks the steps from adopting a table version until its new owner may act:
+// Takes over the partitions that a table version gives to this entry. The entry may act for them after three
+// steps:
 // 1. a majority of the grantors acknowledges the version;
 // 2. one grant period and the clock rate margin pass, so that every older majority of grants has expired;
 // 3. the same incarnations confirm the version and send their records.
-// Step 3 shows that none of them restarted in between and lost its acknowledgement. The records also include
-// agents that the old owner had recorded during the wait.
+// Step 3 shows that no grantor of the majority restarted in between and lost its acknowledgement. The records
+// also include agents that the old owner had recorded during the wait.
 class takeover {
 public:
-    // The connected incarnation of the grantor if it acknowledged the version, otherwise nullopt.
+    // Returns the connected incarnation of the grantor if it acknowledged the version, otherwise nullopt.
     using acknowledged_by = std::function<std::optional<incarnation>(const std::string& grantor)>;
 
-    // A majority of each set is required. There is no wait if all epochs are 1, because there was no earlier
-    // owner.
+    // A majority of each grantor set is required. Step 2 is skipped if all epochs are 1, because there was no
+    // earlier owner.
     takeover(table_version version, std::vector<std::vector<std::string>> grantor_sets,
              std::map<partition_id, epoch_number> partitions);
 
@@ -46,7 +47,8 @@
 
     table_version version() const { return version_; }
     const std::map<partition_id, epoch_number>& partitions() const { return partitions_; }
-    // Changes with every group of grantors that is queried.
+    // Identifies the replies to the queries of step 3. Changes whenever the group of queried grantors
+    // changes.
     std::uint64_t nonce() const;
 
 private:
