--- a/daemon/caller_desk.cpp
+++ b/daemon/caller_desk.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-// A takeover takes about 3 s; a request that found no owner for longer is refused.
+// A takeover takes about 3 s. A request that finds no owner for this long fails.
 constexpr std::chrono::milliseconds unsent_limit{8000};
 constexpr std::chrono::milliseconds unsent_retry_hint{2000};
 
-// The owner answers at the deadline. This much later the owner is taken to have failed without a successor.
+// The owner answers by the deadline. If no answer has come this much later, the owner is assumed to have
+// failed without a successor.
 constexpr std::chrono::milliseconds answer_margin{8000};
 constexpr std::chrono::milliseconds longest_default_deadline{120000};
 
@@ -148,7 +149,7 @@
         const auto found = pending_.find(answer.token);
         if (found == pending_.end())
             return;
-        // The request was sent on to another owner, whose answer counts.
+        // The request has since been forwarded to another owner. Only that owner's answer is used.
         if (found->second.where != place::own_engine)
             return;
         is_local = std::holds_alternative<reply_handler>(found->second.caller);
@@ -172,7 +173,7 @@
             return;
         is_submission = found->second.request.kind == caller_request_kind::submit;
     }
-    // An owner that does not know a submitted job has lost it, so it is submitted again.
+    // An owner that does not know a submitted job has lost it, so the job is submitted again.
     const bool unknown = is_submission && std::holds_alternative<job_not_found>(result.reply);
     if (unknown || std::holds_alternative<job_wrong_owner>(result.reply))
         mark_unsent(result.token);
@@ -256,8 +257,8 @@
             }
         }
     }
-    // The caller may be told that the job is pending only if the owner has accepted it: the owner may be
-    // refusing it.
+    // The caller may be told that the job is pending only after the owner confirms that it accepted the job,
+    // because the owner may be about to refuse it.
     for (const confirmation& asked : unconfirmed)
         forward_(asked.owner, asked.lookup);
     for (const expired_request& ended : expired) {
--- a/daemon/caller_desk.h
+++ b/daemon/caller_desk.h
@@ -22,22 +22,23 @@
 
 namespace persimmonstile {
 
-// What a caller asks of a job.
+// The operation that a caller requests on a job.
 enum class caller_request_kind : std::uint8_t { submit, lookup, cancel };
 
-// A caller's request on its way to the owner of the job and back.
+// A caller's request, which is routed to the owner of the job.
 struct caller_request {
     caller_request_kind kind = caller_request_kind::submit;
     job_id job;
     // Set for submissions only.
     std::shared_ptr<const job_spec> spec;
     std::string traceparent;
-    // The caller is told job_pending after this time; it may be unbounded.
+    // The caller gets job_pending after this time. If unset, there is no limit.
     std::optional<std::chrono::milliseconds> wait;
 };
 
-// Keeps every waiting caller of this entry, sends its request to the job's owner and the owner's answer back.
-// A request whose owner changes or cannot be reached is sent again; the job id makes that safe.
+// Routes the requests of this entry's callers to the owners of the jobs and returns the owners' answers. A
+// request is sent again if its owner changes or cannot be reached. Job ids make requests idempotent, so this
+// is safe.
 class caller_desk {
 public:
     using reply_handler = std::function<void(const job_reply&)>;
@@ -46,34 +47,35 @@
 
     caller_desk(const clock_source& clock, incarnation self, forward_function forward);
 
-    // Must be called before any request arrives; the engine's answers come back through deliver.
+    // Must be called before any request arrives. The engine's answers must be passed to this object.
     void attach(job_engine& engine) { engine_ = &engine; }
 
-    // A request of a caller of this entry. on_reply is called exactly once.
+    // Handles a request from a caller of this entry. on_reply is called exactly once.
     void ask(caller_request request, reply_handler on_reply);
-    // A request that another entry forwarded to this one.
+    // Handles a request that another entry forwarded to this one.
     void forwarded(const incarnation& origin, const forward_job& message);
     void forwarded(const incarnation& origin, const forward_lookup& message);
 
-    // The engine's answer to one token.
+    // Handles the engine's answer to the request with answer.token.
     void deliver(const caller_answer& answer);
-    // The answer of another entry to a request that this one forwarded. It counts only if that entry is the
-    // one that the request was sent to last: a deposed owner may refuse what its successor is running.
+    // Handles another entry's answer to a forwarded request. The answer is ignored unless that entry is the
+    // last one that the request was sent to: a deposed owner may refuse a job that its successor is running.
     void deliver_forwarded(const incarnation& owner, const job_result& result);
 
     void set_table(const owner_table& table);
     void entry_disconnected(const incarnation& entry);
 
-    // Sends unsent requests again and ends expired waits. To be called at least every 50 ms.
+    // Retries unsent requests and answers callers whose wait has expired.
+    // Must be called at least every 50 ms.
     void tick();
 
     std::size_t waiting_callers() const;
 
 private:
-    // Where a request is now.
+    // Where a request is being processed.
     enum class place : std::uint8_t { unsent, own_engine, other_entry };
 
-    // A caller behind another entry, which knows it by its own token.
+    // A caller of another entry (origin), which identifies the request by its own token.
     struct remote_caller {
         incarnation origin;
         caller_token token = 0;
@@ -85,7 +87,7 @@
         place where = place::unsent;
         incarnation sent_to;
         bool was_sent = false;
-        // The owner was asked whether it accepted the job, because the caller's wait is over.
+        // The caller's wait is over, and the owner has been asked whether it accepted the job.
         bool confirming = false;
         time_point asked;
         time_point unsent_since;
--- a/daemon/durable_entry.cpp
+++ b/daemon/durable_entry.cpp
@@ -15,11 +15,11 @@
 
 constexpr const char* component = "entry";
 
-// Timers fire late rather than early; shorter waits would only cost wake-ups.
+// Timers may fire late but not early. Shorter delays would only cause extra wake-ups.
 constexpr milliseconds shortest_wait{1};
 
-// Often enough to see a standing queue within a fraction of overload_limits::detection_time, and a fiftieth
-// of the work that requests make.
+// Short enough to detect a persistent queue of events within a fraction of overload_limits::detection_time.
+// Costs about a fiftieth of the work that requests cause.
 constexpr milliseconds load_probe_interval{25};
 
 entry_record make_member(const daemon_settings& settings) {
@@ -74,7 +74,7 @@
     run([] {});
 }
 
-// Applies an event and performs what follows from it.
+// Applies an event to the core, performs the resulting output and schedules the next wake-up.
 void durable_entry::run(const std::function<void()>& event) {
     if (is_stopped_)
         return;
@@ -148,9 +148,9 @@
         return;
     const auto late = std::chrono::duration_cast<milliseconds>(now - due);
     if (was_overloaded)
-        log_event(log_level::info, component, "load is carried again; new connections are welcome");
+        log_event(log_level::info, component, "no longer overloaded; ready for new connections");
     else
-        log_event(log_level::warn, component, "overloaded; asks for less load",
+        log_event(log_level::warn, component, "overloaded; reporting not ready and shedding connections",
                   {{"event_delay", late}, {"open_jobs", core_.open_jobs()}});
 }
 
@@ -171,7 +171,7 @@
         run([&] { core_.received(link, message, clock_.now(), clock_.wall_now()); });
 }
 
-// Of two entries, the one with the smaller address makes the connection.
+// Of each pair of entries, the one with the smaller address opens the connection.
 void durable_entry::update_peers() {
     if (core_.members().version() == members_version_)
         return;
--- a/daemon/durable_entry.h
+++ b/daemon/durable_entry.h
@@ -22,14 +22,14 @@
 
 namespace persimmonstile {
 
-// Reads the operators' records, which are of this revision of the store. previous is the configuration in
-// use, or null; nullptr if nothing usable is there.
+// Decodes the configuration from the operators' records as of the given store revision. previous is the
+// configuration in use, or null. Returns nullptr if the records hold no usable configuration.
 using config_decoder = std::function<std::shared_ptr<const deployment_config>(
     const std::map<std::string, store_item>& records, std::uint64_t revision,
     const deployment_config* previous)>;
 
-// An entry whose jobs are kept in the store: connects the decision logic with callers, peers, store and
-// clock. Everything happens on the thread that runs the context.
+// An entry whose jobs are recorded in the store. Connects entry_core, which makes the decisions, to callers,
+// peers, store and clock. Not thread-safe: all work runs on the thread that runs the context.
 class durable_entry {
 public:
     using reply_handler = std::function<void(const caller_reply&)>;
@@ -37,7 +37,7 @@
     struct ports {
         store_caller store;
         config_decoder decode_config;
-        // Prefix of the operators' records.
+        // Store key prefix of the operators' records.
         std::string config_prefix;
     };
 
@@ -45,30 +45,31 @@
     durable_entry(asio::io_context& context, const daemon_settings& settings, const entry_limits& limits,
                   const clock_source& clock, ports outside);
 
-    // A caller's request, and the handler of its one reply.
-    // Returns the token of the request, for caller_left.
+    // Submits a job. on_reply is called at most once. Returns the token of the request, for caller_left().
     caller_token submit(job_submission request, reply_handler on_reply);
-    // The caller's connection is gone; its handler is not called.
+    // The caller's connection is closed. Its handler will not be called.
     void caller_left(caller_token token);
     void ask_state(const job_id& job, time_point answer_by, reply_handler on_reply);
     void cancel(const job_id& job, time_point answer_by, reply_handler on_reply);
     std::uint64_t pending(const std::string& queue) const { return core_.pending(queue); }
 
     const deployment_config* config() const { return core_.config(); }
-    // New connections are welcome: the entry is able to serve, and has not more to do than it carries.
+    // True if new connections should be opened to this entry: it can serve requests and is not overloaded.
     bool is_ready() const { return core_.is_ready() && !is_overloaded(); }
     bool is_overloaded() const { return overload_.is_overloaded(); }
-    // The caller whose answer is sent now is to use another connection from then on.
+    // True if the connection should be closed after the answer that is sent now, so that the caller opens a
+    // new one.
     bool wants_to_close_connection() {
         return core_.is_shutting_down() || shedding_.take_one(is_overloaded(), clock_.now());
     }
     const entry_core& core() const { return core_; }
-    // The metrics as they are now, in the Prometheus text format.
+    // The current metrics in the Prometheus text format.
     std::string metrics_text();
 
-    // Refuses new jobs after the first time, and hands the open ones over after the second.
+    // Refuses new jobs once refuse_after has passed, and hands over the open jobs once hand_over_after has
+    // passed.
     void begin_shutdown(milliseconds refuse_after, milliseconds hand_over_after);
-    // Answers the callers that still wait, because the process ends now.
+    // Answers all waiting callers. Called when the process is about to exit.
     void answer_all();
     bool is_drained() const { return core_.has_left() && replies_.empty(); }
     void stop();
@@ -91,7 +92,7 @@
     store_router store_;
     asio::steady_timer timer_;
     time_point timer_due_{};
-    // Fires at a fixed interval, whatever else there is to do.
+    // Fires at a fixed interval. Its lateness shows how long events wait to be processed.
     asio::steady_timer load_probe_;
     overload_detector overload_;
     connection_shedding shedding_;
--- a/daemon/early_requests.h
+++ b/daemon/early_requests.h
@@ -10,37 +10,36 @@
 
 namespace persimmonstile {
 
-// Figures by which requests wait for the first configuration.
+// Limits for requests that wait for the first configuration.
 struct early_limits {
-    // A restarted entry has read the configuration some tens of milliseconds after it began to listen; a
-    // longer wait would use up the objective of a caller.
+    // A restarted entry reads the configuration within some tens of milliseconds after it starts to listen. A
+    // longer wait would use up the caller's latency objective.
     milliseconds patience{300};
-    // As many as come in that time on the largest deployment.
+    // The number of requests that arrive within that time in the largest deployment.
     std::size_t most = 300;
 };
 
-// A request that cannot be judged yet.
+// A request that arrived before the configuration was read.
 struct early_request {
     http_request request;
     http_responder respond;
     time_point arrived{};
 };
 
-// Requests that came before the process has read the configuration. They wait for it for a short while,
-// because a caller that is refused at once after a restart would have been served some tens of milliseconds
-// later.
+// Holds requests that arrive before the process has read its configuration, for a bounded time. Refusing them
+// immediately after a restart would fail callers that can be served some tens of milliseconds later.
 class early_requests {
 public:
     explicit early_requests(const early_limits& limits = {})
         : limits_{limits} {}
 
-    // False if there is no place; the request has to be answered now.
+    // Returns false if the limit is reached. The caller must then answer the request immediately.
     bool hold(const http_request& request, const http_responder& respond, time_point now);
-    // The connection is closed, so nobody waits behind it.
+    // Drops the requests of a closed connection.
     void connection_closed(std::uint64_t connection);
-    // All that wait, the first one first.
+    // Removes and returns all held requests, oldest first.
     std::vector<early_request> take_all();
-    // Those that have waited too long.
+    // Removes and returns the requests that have waited too long.
     std::vector<early_request> take_expired(time_point now);
     bool is_empty() const { return waiting_.empty(); }
 
--- a/daemon/entry_api.cpp
+++ b/daemon/entry_api.cpp
@@ -27,7 +27,7 @@
     result.content_type = std::move(response.content_type);
     result.body = std::move(response.body);
     if (response.retry_after.count() > 0) {
-        // The header has whole seconds; rounding down to 0 would ask for an immediate repetition.
+        // The header holds whole seconds. Rounding down to 0 would request an immediate retry.
         const auto seconds = std::chrono::ceil<std::chrono::seconds>(response.retry_after);
         result.headers.push_back({"Retry-After", std::to_string(seconds.count())});
     }
@@ -62,7 +62,7 @@
     return {true, std::chrono::milliseconds{value}};
 }
 
-// Faults of the id and the query, which are independent of the body.
+// Reports invalid job ids and queries. These checks don't depend on the body.
 void add_target_findings(const job_id& job, const wait_query& query, const http_request& request,
                          wall_time now, request_findings& problems) {
     if (!query.valid)
--- a/daemon/entry_api.h
+++ b/daemon/entry_api.h
@@ -14,10 +14,11 @@
 
 namespace persimmonstile {
 
-// The HTTP interface of an entry. Checks requests and hands them to the caller desk.
+// The HTTP interface of an entry. Validates requests, passes them to caller_desk and answers status and
+// metrics requests.
 class entry_api {
 public:
-    // What the interface asks of the daemon.
+    // State that the daemon provides to the HTTP interface.
     struct daemon_view {
         std::function<entry_status()> status;
         std::function<bool()> is_ready;
@@ -32,7 +33,7 @@
     http_response observe(const std::string& path) const;
     void handle_job(const job_id& job, const http_request& request, const http_responder& respond);
     void handle_single_request(const job_id& job, const http_request& request, const http_responder& respond);
-    // Refuses with the findings on the body, the id and the query together, or asks for the job.
+    // Submits the job, or responds with all findings on the body, the id and the query together.
     void submit(const job_id& job, std::variant<job_spec, request_findings> parsed,
                 const http_request& request, const http_responder& respond);
     void ask(caller_request asked, const http_responder& respond);
--- a/daemon/entry_daemon.cpp
+++ b/daemon/entry_daemon.cpp
@@ -20,7 +20,8 @@
 constexpr const char* component = "entry";
 constexpr milliseconds tick_interval{20};
 constexpr std::size_t http_threads = 2;
-// RESTinio closes connections whose body exceeds this. Bodies between the job limit and this get a 413.
+// RESTinio closes a connection whose request body exceeds this. Bodies between max_request_body_bytes and
+// this get a 413 response.
 constexpr std::size_t max_http_body_bytes = 2 * max_request_body_bytes;
 
 incarnation new_incarnation(const std::string& name) {
@@ -168,7 +169,7 @@
     } else if (const auto* report = std::get_if<job_report>(&message)) {
         engine_.query_answered(*report);
     } else if (!session.entry) {
-        log_event(log_level::warn, component, "message from a peer that did not introduce itself");
+        log_event(log_level::warn, component, "message from a peer that has not sent a hello");
     } else if (const auto* handover = std::get_if<partition_handover>(&message)) {
         handover_received(*handover);
     } else if (const auto* result = std::get_if<job_result>(&message)) {
@@ -309,7 +310,7 @@
         });
 }
 
-// On the control strand, as partitions are lost there.
+// Runs on the control strand, where partitions are lost.
 void entry_daemon::hand_over(const partition_handover& handover) {
     const owner_table& table = ownership_.table();
     if (handover.partition >= table.partitions.size())
@@ -318,7 +319,8 @@
     entries_.send(table.partitions[handover.partition].owner, task_message{handover});
 }
 
-// The former owner learns of the change first. Its message is kept until this entry gains the partition.
+// The former owner may learn of the change before this entry does. Its handover is stored until this entry
+// gains the partition.
 void entry_daemon::handover_received(const partition_handover& handover) {
     asio::post(control_, [this, handover] {
         engine_.handed_over(handover);
@@ -343,7 +345,8 @@
               {{"version", table.version}, {"entries", table.entries.size()}, {"watching", watching}});
 }
 
-// Runs on the store's thread. Peers get the document without its history, which only operators read.
+// Runs on the store worker's watch thread. The document is passed on without its history, which only
+// operators read.
 void entry_daemon::stored_config_received(const std::string& content) {
     const auto parsed = parse_fleet_document(content);
     if (const auto* problems = std::get_if<config_findings>(&parsed)) {
--- a/daemon/entry_daemon.h
+++ b/daemon/entry_daemon.h
@@ -28,9 +28,9 @@
 
 namespace persimmonstile {
 
-// An entry process: takes callers' requests over HTTP, owns partitions of the job ids and dispatches their
-// tasks. Ownership events run one at a time on the control strand; jobs run under the shards' locks on any
-// thread.
+// An entry process: accepts callers' requests over HTTP, owns partitions of the job id space and dispatches
+// the tasks of their jobs. Ownership events run one at a time on the control strand. Job events run on any
+// thread under the lock of their shard.
 class entry_daemon {
 public:
     // Binds both addresses. Throws std::exception if that fails.
@@ -42,9 +42,10 @@
     const std::string& http_address() const { return http_->address(); }
     const std::string& peer_address() const { return peer_address_; }
 
-    // Starts the graceful shutdown: gives the partitions to other entries and answers the callers that wait.
+    // Starts the graceful shutdown: hands the partitions over to other entries and answers waiting callers.
     void begin_shutdown();
-    // True when nothing is left to wait for.
+    // True once the graceful shutdown is complete and the process may exit. The first call after all requests
+    // are answered also starts to close the connections to other entries.
     bool is_drained();
     void stop();
 
@@ -56,7 +57,7 @@
     void receive_control(const std::shared_ptr<peer_session>& session, const control_message& message);
     void closed(const std::shared_ptr<peer_session>& session, const std::string& reason);
 
-    // On the control strand.
+    // These functions run on the control strand, except stored_config_received() and handover_received().
     void agent_status_received(const agent_status& status,
                                const std::shared_ptr<frame_connection>& connection);
     void view_ping_received(const view_ping& ping, const incarnation& agent,
--- a/daemon/entry_links.h
+++ b/daemon/entry_links.h
@@ -14,20 +14,21 @@
 
 namespace persimmonstile {
 
-// Connections to other processes by the incarnation of the entry at their other end. There may be several for
-// one entry, as either side may have opened one. Thread-safe.
+// Holds the connections to entries, grouped by the incarnation of the entry. There may be several connections
+// to one entry, because either side may open one. Thread-safe.
 class entry_links {
 public:
     void add(const incarnation& entry, const std::shared_ptr<frame_connection>& connection);
-    // The entry of a closed connection, if it was registered.
+    // Removes a closed connection. Returns its entry if the connection was registered.
     std::optional<incarnation> remove(const frame_connection* connection);
 
-    // Sends over the newest connection; false if there is none.
+    // Sends over the newest connection. Returns false if there is none.
     bool send(const incarnation& entry, const task_message& message) const;
     bool send(const incarnation& entry, const control_message& message) const;
     void send_to_all(const control_message& message) const;
 
-    // Writes what is queued and ends all connections. They leave the list when they are closed.
+    // Closes all connections after their queued data is written. The caller removes each one when it is
+    // closed.
     void close_gracefully() const;
 
     std::vector<incarnation> connected() const;
--- a/daemon/entry_metrics.h
+++ b/daemon/entry_metrics.h
@@ -16,7 +16,7 @@
 
 class entry_core;
 
-// Metrics of an entry whose jobs are kept in the store.
+// Metrics of an entry whose jobs are recorded in the store (durable_entry).
 class entry_metrics {
 public:
     entry_metrics();
@@ -30,7 +30,7 @@
     void replied(const caller_reply& reply, std::chrono::nanoseconds elapsed);
     store_call_metrics& store_calls() { return store_calls_; }
     void set_overloaded(bool is_overloaded) { overloaded_.set(is_overloaded ? 1 : 0); }
-    // Sets the other gauges.
+    // Updates the gauges that are read from the core.
     void observe(const entry_core& core);
 
 private:
--- a/daemon/entry_status.h
+++ b/daemon/entry_status.h
@@ -9,13 +9,13 @@
 
 namespace persimmonstile {
 
-// What GET /v1/status reports of an entry.
+// The state of an entry as reported by GET /v1/status.
 struct entry_status {
     std::string name;
     config_revision revision = 0;
     table_version version = 0;
     std::size_t partitions = 0;
-    // A majority of the grantors holds this entry's revision and its grants are valid.
+    // This entry holds a valid lease, and a majority of the grantors has at least its configuration revision.
     bool in_force = false;
     bool draining = false;
     std::size_t active_jobs = 0;
--- a/daemon/fleet_holder.cpp
+++ b/daemon/fleet_holder.cpp
@@ -11,7 +11,7 @@
     auto decoded = decode_fleet_document(content);
     if (const auto* problems = std::get_if<config_findings>(&decoded)) {
         for (const config_finding& problem : *problems)
-            log_event(log_level::error, "configuration", "received document is not valid",
+            log_event(log_level::error, "configuration", "received configuration is not valid",
                       {{"finding", describe(problem)}});
         return nullptr;
     }
--- a/daemon/fleet_holder.h
+++ b/daemon/fleet_holder.h
@@ -9,16 +9,17 @@
 
 namespace persimmonstile {
 
-// The newest fleet configuration that this process knows. A newer revision is never replaced by an older one,
-// whatever the store or a peer returns. Thread-safe.
+// Holds the newest fleet configuration that this process has received. Never replaces a revision with an
+// older one, whatever the store or a peer returns. Thread-safe.
 class fleet_holder {
 public:
-    // The decoded view if the document is valid and newer than the present one, nullptr otherwise.
+    // Stores the document if it is valid and newer than the current one. Returns the decoded view, or nullptr
+    // if the document was not stored.
     std::shared_ptr<const fleet_view> offer(const std::string& content);
 
     std::shared_ptr<const fleet_view> view() const;
     config_revision revision() const;
-    // The document as a peer receives it.
+    // The message that sends the document to a peer.
     config_push push() const;
 
 private:
--- a/daemon/job_engine.cpp
+++ b/daemon/job_engine.cpp
@@ -22,8 +22,8 @@
     }
 }
 
-// Applies one event under the shard's lock. Events that change nothing but the time are left out of the
-// journal.
+// Applies one event under the shard's lock. Clock ticks that end no job and free no memory
+// are not written to the journal.
 template <typename Event> job_actions job_engine::decide(shard& target, const Event& event) {
     const std::lock_guard lock{target.mutex};
     const time_point now = clock_.now();
@@ -63,8 +63,8 @@
         queue(request);
 }
 
-// The scheduler learns first what came back, then the load that was reported with it, because that load does
-// not contain the returned tasks any more.
+// Passes returned tasks to the scheduler before the load that was reported with them, because that load no
+// longer includes the returned tasks.
 void job_engine::update_scheduler(const job_actions& actions, const task_reports* reports) {
     if (actions.withdrawn.empty() && actions.returned.empty() && reports == nullptr)
         return;
--- a/daemon/job_engine.h
+++ b/daemon/job_engine.h
@@ -22,8 +22,9 @@
 
 namespace persimmonstile {
 
-// The jobs that this entry owns: shards of the job table, each under its own lock, and the scheduler under
-// another. Performs their actions. No two of the locks are ever held together.
+// Runs the jobs that this entry owns: applies events to the job table and the scheduler and performs the
+// resulting actions. Each shard of the job table has its own lock, and so has the scheduler. No two of these
+// locks are held at the same time.
 class job_engine {
 public:
     using answer_handler = std::function<void(const caller_answer&)>;
@@ -49,7 +50,8 @@
 
     void set_fleet(std::shared_ptr<const fleet_view> fleet);
     void set_entry_count(std::uint32_t entries);
-    // This entry may act until the given time. Without a lease nothing is dispatched or accepted.
+    // Sets the end of this entry's lease. Without a valid lease, no job is accepted and no task is
+    // dispatched.
     void set_lease(time_point until);
     bool has_lease() const;
 
@@ -93,7 +95,7 @@
     std::shared_ptr<const fleet_view> fleet_;
     std::atomic<time_point::rep> lease_until_{0};
     std::mutex spans_mutex_;
-    // Spans of the jobs that have not ended.
+    // Trace spans of the jobs that have not ended.
     std::unordered_map<job_id, trace_span> spans_;
 };
 
--- a/daemon/store_call_metrics.cpp
+++ b/daemon/store_call_metrics.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// In the order of the alternatives of store_call and store_reply.
+// Same order as the alternatives of store_call and store_reply.
 constexpr std::array<std::string_view, std::variant_size_v<store_call>> kinds{
     "write", "read", "list", "watch", "lease_open", "lease_renew", "lease_close"};
 constexpr std::array<std::string_view, std::variant_size_v<store_reply>> results{
--- a/daemon/store_call_metrics.h
+++ b/daemon/store_call_metrics.h
@@ -10,12 +10,12 @@
 
 namespace persimmonstile {
 
-// What a daemon's calls to the store came to.
+// Counts a daemon's store calls by kind and result and records how long they take.
 class store_call_metrics {
 public:
     explicit store_call_metrics(metric_registry& registry);
 
-    // Watches wait for a change, so their time is not recorded.
+    // Records an answered call. The duration of a watch is not recorded, because a watch waits for a change.
     void answered(const store_call& call, const store_reply& reply, std::chrono::nanoseconds elapsed);
 
 private:
--- a/daemon/store_router.cpp
+++ b/daemon/store_router.cpp
@@ -10,12 +10,12 @@
 
 constexpr const char* component = "store";
 
-// Direct calls in a row without success after which calls go through a peer.
+// Consecutive failed direct calls after which calls are relayed through a peer.
 constexpr unsigned failures_to_relay = 2;
 
 constexpr milliseconds probe_interval{500};
 constexpr milliseconds probe_timeout{300};
-// How much longer than the call itself its way through a peer may take.
+// Extra time allowed for a relayed call beyond the timeout of the call itself.
 constexpr milliseconds relay_margin{30};
 
 } // namespace
@@ -40,7 +40,7 @@
                             failures_ = 0;
                             if (direct_failing_since_) {
                                 direct_failing_since_.reset();
-                                log_event(log_level::info, component, "store answers this process again");
+                                log_event(log_level::info, component, "store answers direct calls again");
                             }
                             on_reply(reply);
                             return;
@@ -48,10 +48,12 @@
                         if (++failures_ >= failures_to_relay && !direct_failing_since_) {
                             direct_failing_since_ = clock_.now();
                             last_probe_ = clock_.now();
-                            log_event(log_level::warn, component, "store does not answer this process",
+                            log_event(log_level::warn, component,
+                                      "store does not answer direct calls; relaying calls through peers",
                                       {{"detail", failure->detail}});
                         }
-                        // A refusal took no time, so the call can still be made through a peer.
+                        // A call that was certainly not applied can be made again through a peer. A refusal
+                        // arrives immediately, so little time is lost.
                         if (failure->may_have_applied || !relay(request, timeout, on_reply))
                             on_reply(reply);
                     });
--- a/daemon/store_router.h
+++ b/daemon/store_router.h
@@ -19,31 +19,34 @@
 
 using store_reply_handler = std::function<void(const store_reply&)>;
 
-// Makes a call to the store. The handler is called once, later, with store_failure after the timeout.
+// Starts a call to the store. The handler is called exactly once, after this function has returned. It gets
+// store_failure if the timeout expires.
 using store_caller =
     std::function<void(const store_call& call, milliseconds timeout, store_reply_handler on_reply)>;
 
-// Makes an entry's calls to the store: directly, or through a peer while the store turns this process away
-// and serves others. Every write of this project has conditions that make it take effect once, so a call may
-// be made both ways.
+// Makes an entry's calls to the store: directly, or relayed through a peer while the store does not answer
+// this process but may answer others. A call may be made both ways, because every write is conditional and
+// takes effect at most once.
 class store_router {
 public:
     struct ports {
         store_caller direct;
-        // Links of the peers that may make calls for this process.
+        // Links to the peers that can relay calls for this process.
         std::function<std::vector<link_number>()> peers;
         std::function<void(link_number link, const work_message& message)> send;
     };
 
-    // probe_key is read from time to time to find out whether the store answers again.
+    // While direct calls fail, probe_key is read periodically to find out whether the store answers again.
     store_router(const clock_source& clock, ports outside, std::string probe_key);
 
     void call(const store_call& request, milliseconds timeout, store_reply_handler on_reply);
 
-    // A peer asks for a call.
+    // Makes a direct call for a peer and sends it the reply.
     void serve(link_number link, const relayed_store_call& request);
+    // Handles a peer's reply to a relayed call.
     void relayed(const relayed_store_reply& reply);
-    // Ends the relayed calls that got no answer. To be called at least every 100 ms.
+    // Fails relayed calls whose timeout has expired, and probes the store if direct calls fail. Must be
+    // called at least every 100 ms.
     void tick();
 
     bool is_direct() const { return !direct_failing_since_; }
--- a/daemon/store_worker.cpp
+++ b/daemon/store_worker.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr const char* component = "store";
-// A watch is renewed this often, so that a silent connection to the store is noticed.
+// A watch is restarted after this time, so that a dead connection to the store is detected.
 constexpr milliseconds watch_timeout{5000};
 constexpr std::chrono::milliseconds retry_pause{500};
 
@@ -64,7 +64,7 @@
                 result.available = true;
                 result.table = std::move(*table);
             } else {
-                log_event(log_level::error, component, "the owner table in the store is not readable",
+                log_event(log_level::error, component, "the owner table in the store could not be decoded",
                           {{"detail", std::get<decode_error>(decoded).detail}});
             }
         } else if (const auto* failure = std::get_if<store_unavailable>(&answer)) {
@@ -116,7 +116,7 @@
 }
 
 void store_worker::run_watch() {
-    // Every entry reads the configuration once, so that a cell that has no watcher yet starts with it.
+    // Every entry reads the configuration once at startup, so that it has one even if no entry watches yet.
     read_config_once();
     while (wait_until_watching())
         watch_once();
--- a/daemon/store_worker.h
+++ b/daemon/store_worker.h
@@ -18,21 +18,22 @@
 
 namespace persimmonstile {
 
-// Result of reading the owner table. available is false if the store did not answer or its value could not be
-// read.
+// Result of reading the owner table. It is marked as unavailable if the store did not answer or the value
+// could not be decoded.
 struct table_read_result {
     bool available = false;
     std::optional<owner_table> table;
     std::int64_t mod_revision = 0;
 };
 
-// Performs an entry's blocking store calls: the owner table on one thread, in the order of the requests, and
-// the wait for a new configuration on another.
+// Makes an entry's blocking store calls. One thread reads and writes the owner table in the order of the
+// requests, another watches for new configurations.
 class store_worker {
 public:
     using read_handler = std::function<void(const table_read_result&)>;
     using write_handler = std::function<void(table_write_result)>;
-    // Called with each configuration document that the store returns; older ones are possible.
+    // Called with each configuration document that the store returns. A document may be older than the
+    // previous one.
     using config_handler = std::function<void(const std::string& content)>;
 
     store_worker(const std::vector<std::string>& endpoints, std::string cell, const clock_source& clock,
@@ -43,8 +44,8 @@
 
     void read_table(read_handler on_result);
     void write_table(const table_write& write, write_handler on_result);
-    // Only the watching entry waits for changes, so that the store's load does not grow with the number of
-    // entries.
+    // Enables or disables the configuration watch. Only one entry watches, so that the load of the store does
+    // not grow with the number of entries.
     void set_watching(bool watching);
     void stop();
 
--- a/tests/early_requests_test.cpp
+++ b/tests/early_requests_test.cpp
@@ -23,7 +23,7 @@
     }
 };
 
-// Guards against requests that are served in another order than they came, or twice.
+// Requests must be returned in order of arrival, and only once.
 TEST_F(early_requests_test, hands_over_in_order_of_arrival) {
     EXPECT_TRUE(hold("/a", 1, begin_));
     EXPECT_TRUE(hold("/b", 2, begin_ + 10ms));
@@ -35,7 +35,7 @@
     EXPECT_TRUE(requests_.take_all().empty());
 }
 
-// Guards against callers that are held although no configuration comes.
+// Callers must not wait longer than the limit if no configuration arrives.
 TEST_F(early_requests_test, gives_up_those_that_waited_too_long) {
     hold("/a", 1, begin_);
     hold("/b", 2, begin_ + 200ms);
@@ -46,7 +46,7 @@
     EXPECT_FALSE(requests_.is_empty());
 }
 
-// Guards against work for callers that have left, and against unbounded memory.
+// Requests of closed connections must be dropped, and the number of held requests must be bounded.
 TEST_F(early_requests_test, forgets_closed_connections_and_is_bounded) {
     EXPECT_TRUE(hold("/a", 1, begin_));
     EXPECT_TRUE(hold("/b", 2, begin_));
--- a/tests/store_router_test.cpp
+++ b/tests/store_router_test.cpp
@@ -53,7 +53,7 @@
     EXPECT_TRUE(sent_.empty());
 }
 
-// Guards against an entry that serves nobody because the store turns it away and serves the others.
+// An entry must be able to use the store through a peer if the store refuses it but serves other entries.
 TEST_F(store_router_test, goes_through_a_peer_when_the_store_refuses_this_process) {
     call();
     answer_direct(store_failure{"refused", false});
@@ -63,13 +63,13 @@
     EXPECT_TRUE(std::holds_alternative<item_missing>(replies_[0]));
     call();
     answer_direct(store_failure{"refused", false});
-    // From the second failure on it does not ask the store first.
+    // After the second failure, calls are relayed without a direct call first.
     call();
     EXPECT_TRUE(direct_.empty());
     EXPECT_EQ(sent_.size(), 3U);
 }
 
-// Guards against an entry that burdens its peers after the store has let it in again.
+// An entry must stop relaying calls through peers once the store answers it again.
 TEST_F(store_router_test, returns_to_the_store_when_it_answers_again) {
     for (int i = 0; i < 2; ++i) {
         call();
@@ -83,7 +83,7 @@
     EXPECT_TRUE(router_.is_direct());
 }
 
-// Guards against calls that are never answered because the peer died.
+// A relayed call must be answered even if the peer fails. Its outcome is unknown.
 TEST_F(store_router_test, reports_a_relayed_call_without_an_answer_as_doubtful) {
     call();
     answer_direct(store_failure{"refused", false});
