--- a/coordination/agent_core.cpp
+++ b/coordination/agent_core.cpp
@@ -90,8 +90,8 @@
     std::vector<run_ref> ended;
     runs_.for_each([&](run_record& record) {
         if (record.state == run_state::starting && keeps_unanswered_starts)
-            record.in_doubt = true;
-        else if (holds_room(record.state))
+            record.is_start_unanswered = true;
+        else if (uses_capacity(record.state))
             lost.push_back(record.run);
         else
             ended.push_back(record.run);
--- a/coordination/agent_limits.h
+++ b/coordination/agent_limits.h
@@ -23,7 +23,7 @@
         return requested_lease() + requested_lease() / 50 + margin;
     }
     // Callers that lost their connection send their jobs again after this time. Set by the platform.
-    milliseconds caller_resend = default_caller_resend_delay;
+    milliseconds caller_resend_delay = default_caller_resend_delay;
     // Maximum time for which a backend server holds back its answer to a hold order. If the answer is lost,
     // the agent learns of ended runs this much later, about a third of the objective of the shortest tasks
     // (156 ms).
--- a/coordination/agent_links.cpp
+++ b/coordination/agent_links.cpp
@@ -118,7 +118,7 @@
         record.owner = message.owner;
         record.is_durable = message.is_durable;
         if (message.remaining_ms > 0)
-            record.expires = now + message.remaining();
+            record.expires_at = now + message.remaining();
         record.needs = start.needs;
         record.payload = payload;
         record.checkpoint = start.checkpoint;
--- a/coordination/agent_orders.cpp
+++ b/coordination/agent_orders.cpp
@@ -54,7 +54,7 @@
 bool agent_core::has_unclaimed_runs() {
     bool found = false;
     runs_.for_each([&](run_record& record) {
-        found = found || (record.owner.name.empty() && holds_room(record.state));
+        found = found || (record.owner.name.empty() && uses_capacity(record.state));
     });
     return found;
 }
@@ -71,7 +71,7 @@
         const bool fits = record->needs.fits_in(backend_.capacity - runs_.held());
         if (!fits || starts_in_flight_ >= limits_.max_starts_in_flight)
             queue_.push_back(run);
-        else if (!is_present(record->owner, record->is_durable, now) || now >= record->expires)
+        else if (!is_present(record->owner, record->is_durable, now) || now >= record->expires_at)
             end_run(*record, run_state::refused, run_refusal::owner_silent, now);
         else
             order_start(*record, now);
@@ -80,15 +80,15 @@
 
 void agent_core::order_start(run_record& record, time_point now) {
     runs_.set_state(record, run_state::starting);
-    record.in_doubt = false;
-    record.ordered = now;
-    record.order_token = token_;
+    record.is_start_unanswered = false;
+    record.start_ordered_at = now;
+    record.start_token = token_;
     ++starts_in_flight_;
     send(start_order{record.run, *record.payload, record.checkpoint}, order_round_trip_.timeout(), now);
 }
 
 void agent_core::order_stop(run_record& record, time_point now) {
-    record.stop_ordered = true;
+    record.is_stop_ordered = true;
     send(stop_order{record.run}, order_round_trip_.timeout(), now);
 }
 
@@ -181,15 +181,15 @@
         --starts_in_flight_;
     run_record* record = runs_.find(std::get<start_order>(sent.order.action).run);
     if (record == nullptr || record->state != run_state::starting ||
-        record->order_token != sent.order.fencing_token)
+        record->start_token != sent.order.fencing_token)
         return;
     switch (reply.verdict) {
     case backend_verdict::accepted:
         runs_.set_state(*record, run_state::running);
         record->started = now;
-        record->progressed_ms = reply.clock_ms;
+        record->last_progress_ms = reply.clock_ms;
         report(*record, now);
-        if (record->stop_wanted && !record->stop_ordered)
+        if (record->is_stop_requested && !record->is_stop_ordered)
             order_stop(*record, now);
         return;
     case backend_verdict::fenced:
@@ -220,7 +220,7 @@
         end_run(*record, run_state::refused, run_refusal::no_backend, now);
         return;
     case backend_verdict::no_answer:
-        record->in_doubt = true;
+        record->is_start_unanswered = true;
         is_raise_wanted_ = true;
         note("start order got no answer", record->run.task.job,
              {{"step", record->run.task.step},
@@ -235,7 +235,7 @@
     if (record == nullptr || is_final(record->state) || reply.verdict == backend_verdict::accepted)
         return;
     // The next tick sends the order again. The run holds its capacity until its end is listed.
-    record->stop_ordered = false;
+    record->is_stop_ordered = false;
     if (reply.verdict == backend_verdict::fenced && sent.order.fencing_token == token_) {
         token_ += token_step;
         is_raise_wanted_ = true;
@@ -339,11 +339,11 @@
         found.run = listed.run;
         found.state = run_state::running;
         found.accepted = found.started = now;
-        found.progressed_ms = clock_ms;
+        found.last_progress_ms = clock_ms;
         found.percent = listed.percent;
         found.checkpoint = listed.checkpoint;
         // An abandoned run has no owner that could claim it, so it is stopped.
-        found.stop_wanted = abandoned_runs_.contains(listed.run);
+        found.is_stop_requested = abandoned_runs_.contains(listed.run);
         record = &runs_.add(std::move(found));
         return;
     }
@@ -352,21 +352,21 @@
     if (record->state == run_state::starting) {
         runs_.set_state(*record, run_state::running);
         record->started = now;
-        record->in_doubt = false;
+        record->is_start_unanswered = false;
         report(*record, now);
     }
     if (!listed.checkpoint.empty())
         record->checkpoint = listed.checkpoint;
-    if (record->progressed_ms == 0 || listed.percent > record->percent) {
+    if (record->last_progress_ms == 0 || listed.percent > record->percent) {
         record->percent = listed.percent;
-        record->progressed_ms = clock_ms;
+        record->last_progress_ms = clock_ms;
     } else if (is_stalled(*record, listed, clock_ms)) {
         note("task makes no progress", listed.run.task.job,
              {{"step", listed.run.task.step},
               {"task", listed.run.task.index},
               {"run", static_cast<std::int64_t>(listed.run.run)},
               {"percent", record->percent},
-              {"for_ms", clock_ms - record->progressed_ms}},
+              {"for_ms", clock_ms - record->last_progress_ms}},
              true);
         request_stop(*record, run_refusal::stalled, now);
     }
@@ -374,8 +374,9 @@
 
 // Measures the time without progress by the clock of the backend server, because lists may arrive late.
 bool agent_core::is_stalled(const run_record& record, const listed_run& listed, std::int64_t clock_ms) const {
-    return record.state == run_state::running && !record.stop_wanted && listed.percent <= record.percent &&
-           clock_ms - record.progressed_ms >= limits_.stall_timeout(record.expected).count();
+    return record.state == run_state::running && !record.is_stop_requested &&
+           listed.percent <= record.percent &&
+           clock_ms - record.last_progress_ms >= limits_.stall_timeout(record.expected).count();
 }
 
 // Queues runs again whose unanswered start order is proved not executed: the order has a lower token than the
@@ -384,8 +385,8 @@
                                            time_point now) {
     std::vector<run_ref> resolved;
     runs_.for_each([&](run_record& record) {
-        if (record.state == run_state::starting && record.in_doubt &&
-            record.order_token < hold.order.fencing_token && !listed.contains(record.run))
+        if (record.state == run_state::starting && record.is_start_unanswered &&
+            record.start_token < hold.order.fencing_token && !listed.contains(record.run))
             resolved.push_back(record.run);
     });
     for (const run_ref& run : resolved) {
@@ -395,7 +396,7 @@
               {"task", run.task.index},
               {"run", static_cast<std::int64_t>(run.run)},
               {"token", static_cast<std::int64_t>(hold.order.fencing_token)}});
-        if (record.stop_wanted) {
+        if (record.is_stop_requested) {
             end_run(record, run_state::refused, run_refusal::withdrawn, now);
             continue;
         }
--- a/coordination/agent_runs.cpp
+++ b/coordination/agent_runs.cpp
@@ -41,9 +41,9 @@
 }
 
 void agent_core::request_stop(run_record& record, run_refusal reason, time_point now) {
-    if (is_final(record.state) || record.stop_wanted)
+    if (is_final(record.state) || record.is_stop_requested)
         return;
-    record.stop_wanted = true;
+    record.is_stop_requested = true;
     record.reason = reason;
     if (record.state == run_state::queued)
         end_run(record, run_state::refused, reason, now);
@@ -72,7 +72,7 @@
     const auto found = owners_.find(owner);
     return found != owners_.end() &&
            now < found->second.last_contact +
-                     (is_durable ? owner_contact_lease : caller_contact_lease(limits_.caller_resend));
+                     (is_durable ? owner_contact_lease : caller_contact_lease(limits_.caller_resend_delay));
 }
 
 // Stops runs that have expired or whose owner has been unreachable for too long. A successor that cannot
@@ -84,13 +84,13 @@
         if (is_final(record.state) && !record.owner.name.empty() &&
             now >= std::max(record.ended, owners_[record.owner].last_contact) + limits_.owner_absence_timeout)
             record.owner = {};
-        if (is_final(record.state) || record.stop_wanted)
+        if (is_final(record.state) || record.is_stop_requested)
             return;
         const bool is_claimed = !record.owner.name.empty();
-        const bool has_owner = is_claimed
-                                   ? is_present(record.owner, record.is_durable, now)
-                                   : now < record.accepted + caller_contact_lease(limits_.caller_resend);
-        if (!has_owner || now >= record.expires)
+        const bool has_owner =
+            is_claimed ? is_present(record.owner, record.is_durable, now)
+                       : now < record.accepted + caller_contact_lease(limits_.caller_resend_delay);
+        if (!has_owner || now >= record.expires_at)
             abandoned.push_back(record.run);
     });
     for (const run_ref& run : abandoned) {
@@ -99,7 +99,7 @@
         request_stop(*runs_.find(run), run_refusal::owner_silent, now);
     }
     runs_.for_each([&](run_record& record) {
-        if (record.stop_wanted && !record.stop_ordered && record.state == run_state::running)
+        if (record.is_stop_requested && !record.is_stop_ordered && record.state == run_state::running)
             order_stop(record, now);
     });
 }
@@ -110,7 +110,7 @@
     if (is_silent_ && now >= lease_bound_) {
         std::vector<run_ref> lapsed;
         runs_.for_each([&](run_record& record) {
-            if (holds_room(record.state))
+            if (uses_capacity(record.state))
                 lapsed.push_back(record.run);
         });
         for (const run_ref& run : lapsed) {
--- a/coordination/caller_left.h
+++ b/coordination/caller_departure.h
@@ -7,11 +7,13 @@
 namespace persimmonstile {
 
 // Event: a caller has stopped waiting. Its job continues.
-struct caller_left {
+struct caller_departure {
     job_id job;
     caller_token token = 0;
 
-    static constexpr auto members() { return std::make_tuple(&caller_left::job, &caller_left::token); }
+    static constexpr auto members() {
+        return std::make_tuple(&caller_departure::job, &caller_departure::token);
+    }
 };
 
 } // namespace persimmonstile
--- a/coordination/commit_queue.cpp
+++ b/coordination/commit_queue.cpp
@@ -30,23 +30,23 @@
 constexpr milliseconds max_timeout{1000};
 
 // Retry delay after a failure that reports that the write was not applied.
-constexpr milliseconds refusal_pause{40};
+constexpr milliseconds failure_backoff{40};
 
 // An acceptance is abandoned after this time if no attempt to write it can have been applied, so that its
 // caller gets a reply.
 constexpr milliseconds acceptance_timeout{250};
 
-bool is_accept(const commit& what) {
-    return std::holds_alternative<commit_accept>(what.change);
+bool is_accept(const job_commit& request) {
+    return std::holds_alternative<acceptance_commit>(request.change);
 }
 
-std::size_t bytes_of(const commit& what) {
+std::size_t estimate_bytes(const job_commit& request) {
     const auto payload_of = [](const std::shared_ptr<const open_job>& record) {
         return record->plan.payload.size() + record->plan.steps.size() * 64 + record->progress.size() * 32;
     };
-    if (const auto* accept = std::get_if<commit_accept>(&what.change))
+    if (const auto* accept = std::get_if<acceptance_commit>(&request.change))
         return payload_of(accept->record);
-    if (const auto* progress = std::get_if<commit_progress>(&what.change))
+    if (const auto* progress = std::get_if<progress_commit>(&request.change))
         return payload_of(progress->record);
     return 64;
 }
@@ -72,54 +72,54 @@
 
 void commit_queue::clear_session() {
     entry_revision_ = 0;
-    queue_.clear();
+    pending_commits_.clear();
     batches_.clear();
 }
 
-void commit_queue::add(commit what, time_point) {
-    queue_.push_back(std::move(what));
+void commit_queue::add(job_commit request, time_point) {
+    pending_commits_.push_back(std::move(request));
 }
 
 // Returns the number of conditions, values and removals that a commit adds to a write.
-std::size_t commit_queue::entries_of(const commit& what) {
-    if (is_accept(what))
+std::size_t commit_queue::count_entries(const job_commit& request) {
+    if (is_accept(request))
         return 3;
-    return std::holds_alternative<commit_forget>(what.change) ? 1 : 2;
+    return std::holds_alternative<removal_commit>(request.change) ? 1 : 2;
 }
 
-void commit_queue::append(store_write& call, const commit& what) const {
-    if (const auto* accept = std::get_if<commit_accept>(&what.change)) {
+void commit_queue::append_changes(store_write& call, const job_commit& request) const {
+    if (const auto* accept = std::get_if<acceptance_commit>(&request.change)) {
         job_status status;
         status.owner = session_;
-        call.conditions.push_back({job_key(what.job), 0});
-        call.puts.push_back({job_key(what.job), status});
-        call.puts.push_back({open_key(session_, what.job), *accept->record});
-    } else if (const auto* progress = std::get_if<commit_progress>(&what.change)) {
-        const std::string key = open_key(progress->keeper, what.job);
+        call.conditions.push_back({job_key(request.job), 0});
+        call.puts.push_back({job_key(request.job), status});
+        call.puts.push_back({open_key(session_, request.job), *accept->record});
+    } else if (const auto* progress = std::get_if<progress_commit>(&request.change)) {
+        const std::string key = open_key(progress->record_session, request.job);
         call.conditions.push_back({key, progress->revision});
         call.puts.push_back({key, *progress->record});
-    } else if (const auto* end = std::get_if<commit_end>(&what.change)) {
-        call.puts.push_back({job_key(what.job), end->status});
-        call.removals.push_back(open_key(end->keeper, what.job));
+    } else if (const auto* end = std::get_if<end_commit>(&request.change)) {
+        call.puts.push_back({job_key(request.job), end->status});
+        call.removals.push_back(open_key(end->record_session, request.job));
     } else {
-        call.removals.push_back(job_key(what.job));
+        call.removals.push_back(job_key(request.job));
     }
 }
 
-void commit_queue::fill(batch& next) {
+void commit_queue::fill_batch(batch& next) {
     next.call.conditions.push_back({entry_key(session_.name), entry_revision_});
     std::size_t entries = 1;
     std::size_t bytes = 0;
-    while (!queue_.empty()) {
-        const std::size_t more = entries_of(queue_.front());
-        const std::size_t size = bytes_of(queue_.front());
-        if (entries + more > max_write_entries || (entries > 1 && bytes + size > max_batch_bytes))
+    while (!pending_commits_.empty()) {
+        const std::size_t entry_count = count_entries(pending_commits_.front());
+        const std::size_t size = estimate_bytes(pending_commits_.front());
+        if (entries + entry_count > max_write_entries || (entries > 1 && bytes + size > max_batch_bytes))
             break;
-        entries += more;
+        entries += entry_count;
         bytes += size;
-        append(next.call, queue_.front());
-        next.commits.push_back(std::move(queue_.front()));
-        queue_.pop_front();
+        append_changes(next.call, pending_commits_.front());
+        next.commits.push_back(std::move(pending_commits_.front()));
+        pending_commits_.pop_front();
     }
 }
 
@@ -128,22 +128,22 @@
     if (!has_session())
         return writes;
     const auto send = [&](std::uint64_t id, batch& ready) {
-        ready.send_at.reset();
-        ready.sent = now;
+        ready.next_attempt_at.reset();
+        ready.last_attempt_at = now;
         ++ready.attempts;
         writes.push_back({id, ready.call, round_trip_.timeout()});
     };
     for (auto& [id, waiting] : batches_) {
-        if (waiting.send_at && *waiting.send_at <= now)
+        if (waiting.next_attempt_at && *waiting.next_attempt_at <= now)
             send(id, waiting);
     }
-    while (!queue_.empty() && batches_.size() < max_writes_in_flight) {
-        if (!batches_.empty() && now - last_sent_ < max_batch_delay)
+    while (!pending_commits_.empty() && batches_.size() < max_writes_in_flight) {
+        if (!batches_.empty() && now - last_batch_sent_at_ < max_batch_delay)
             break;
         batch& next = batches_[++last_id_];
-        next.created = now;
-        fill(next);
-        last_sent_ = now;
+        next.created_at = now;
+        fill_batch(next);
+        last_batch_sent_at_ = now;
         send(last_id_, next);
     }
     return writes;
@@ -155,11 +155,11 @@
         next = next ? std::min(*next, when) : when;
     };
     for (const auto& [id, waiting] : batches_) {
-        if (waiting.send_at)
-            consider(*waiting.send_at);
+        if (waiting.next_attempt_at)
+            consider(*waiting.next_attempt_at);
     }
-    if (!queue_.empty() && !batches_.empty() && batches_.size() < max_writes_in_flight)
-        consider(last_sent_ + max_batch_delay);
+    if (!pending_commits_.empty() && !batches_.empty() && batches_.size() < max_writes_in_flight)
+        consider(last_batch_sent_at_ + max_batch_delay);
     return next;
 }
 
@@ -171,104 +171,105 @@
     const auto found = batches_.find(id);
     if (found == batches_.end())
         return false;
-    batch& ended = found->second;
+    batch& ended_batch = found->second;
     if (const auto* failure = std::get_if<store_failure>(&reply)) {
-        retry(ended, *failure, now);
-        if (ended.commits.empty())
+        schedule_retry(ended_batch, *failure, now);
+        if (ended_batch.commits.empty())
             batches_.erase(found);
         return false;
     }
     failing_since_.reset();
     // The answer to a retried write may belong to any attempt, so it is not used as a round-trip sample.
-    if (ended.attempts == 1)
-        round_trip_.answered(now - ended.sent);
+    if (ended_batch.attempts == 1)
+        round_trip_.answered(now - ended_batch.last_attempt_at);
     bool is_deposed = false;
     if (const auto* applied = std::get_if<write_applied>(&reply))
-        finish(ended, *applied);
+        add_durable_results(ended_batch, *applied);
     else if (const auto* conflict = std::get_if<write_conflict>(&reply))
-        is_deposed = !settle_conflict(ended, *conflict, now);
+        is_deposed = !resolve_conflict(ended_batch, *conflict, now);
     batches_.erase(found);
     if (is_deposed)
         clear_session();
     return is_deposed;
 }
 
-void commit_queue::finish(batch& ended, const write_applied& reply) {
-    for (commit& done : ended.commits)
+void commit_queue::add_durable_results(batch& ended_batch, const write_applied& reply) {
+    for (job_commit& done : ended_batch.commits)
         results_.push_back({std::move(done), commit_outcome::durable, reply.revision, {}});
 }
 
 // A conflicting write changes nothing. Commits whose conditions failed get a result, and the others go into
 // the next write. If the stored record already is what a commit would write, an earlier attempt was applied.
-bool commit_queue::settle_conflict(batch& failed, const write_conflict& reply, time_point) {
+bool commit_queue::resolve_conflict(batch& failed_batch, const write_conflict& reply, time_point) {
     const store_item* entry = find_item(reply, entry_key(session_.name));
     if (entry == nullptr || entry->revision != entry_revision_)
         return false;
-    std::vector<commit> again;
-    for (commit& what : failed.commits) {
-        if (is_accept(what)) {
-            const store_item* item = find_item(reply, job_key(what.job));
+    std::vector<job_commit> retried_commits;
+    for (job_commit& request : failed_batch.commits) {
+        if (is_accept(request)) {
+            const store_item* item = find_item(reply, job_key(request.job));
             if (item == nullptr || item->revision == 0) {
-                again.push_back(std::move(what));
+                retried_commits.push_back(std::move(request));
                 continue;
             }
-            const auto* present = std::get_if<job_status>(&item->value);
-            const bool is_own = present != nullptr && present->owner == session_ && !is_final(present->state);
-            results_.push_back({std::move(what), is_own ? commit_outcome::durable : commit_outcome::conflict,
-                                item->revision, present != nullptr ? *present : job_status{}});
+            const auto* stored = std::get_if<job_status>(&item->value);
+            const bool is_own = stored != nullptr && stored->owner == session_ && !is_final(stored->state);
+            results_.push_back({std::move(request),
+                                is_own ? commit_outcome::durable : commit_outcome::conflict, item->revision,
+                                stored != nullptr ? *stored : job_status{}});
             continue;
         }
-        const auto* progress = std::get_if<commit_progress>(&what.change);
+        const auto* progress = std::get_if<progress_commit>(&request.change);
         if (progress == nullptr) {
-            again.push_back(std::move(what));
+            retried_commits.push_back(std::move(request));
             continue;
         }
-        const store_item* item = find_item(reply, open_key(progress->keeper, what.job));
-        const auto* present = item != nullptr ? std::get_if<open_job>(&item->value) : nullptr;
-        if (present == nullptr) {
-            results_.push_back({std::move(what), commit_outcome::conflict, 0, {}});
-        } else if (present->progress == progress->record->progress) {
-            results_.push_back({std::move(what), commit_outcome::durable, item->revision, {}});
+        const store_item* item = find_item(reply, open_key(progress->record_session, request.job));
+        const auto* stored = item != nullptr ? std::get_if<open_job>(&item->value) : nullptr;
+        if (stored == nullptr) {
+            results_.push_back({std::move(request), commit_outcome::conflict, 0, {}});
+        } else if (stored->progress == progress->record->progress) {
+            results_.push_back({std::move(request), commit_outcome::durable, item->revision, {}});
         } else {
             // No other session writes the record, so only the expected revision was stale.
-            commit_progress current = *progress;
+            progress_commit current = *progress;
             current.revision = item->revision;
-            again.push_back({what.job, current});
+            retried_commits.push_back({request.job, current});
         }
     }
-    queue_.insert(queue_.begin(), std::make_move_iterator(again.begin()),
-                  std::make_move_iterator(again.end()));
+    pending_commits_.insert(pending_commits_.begin(), std::make_move_iterator(retried_commits.begin()),
+                            std::make_move_iterator(retried_commits.end()));
     return true;
 }
 
-void commit_queue::retry(batch& failed, const store_failure& failure, time_point now) {
+void commit_queue::schedule_retry(batch& failed_batch, const store_failure& failure, time_point now) {
     if (!failing_since_)
         failing_since_ = now;
     if (failure.may_have_applied) {
-        failed.is_outcome_unknown = true;
+        failed_batch.is_outcome_unknown = true;
         round_trip_.missing();
-        failed.send_at = now;
+        failed_batch.next_attempt_at = now;
         return;
     }
-    failed.send_at = now + refusal_pause;
-    if (!failed.is_outcome_unknown && now - failed.created >= acceptance_timeout)
-        give_up(failed);
+    failed_batch.next_attempt_at = now + failure_backoff;
+    if (!failed_batch.is_outcome_unknown && now - failed_batch.created_at >= acceptance_timeout)
+        abandon_acceptances(failed_batch);
 }
 
 // Abandons the acceptances of a write that cannot have been applied. Its other commits are still retried.
-void commit_queue::give_up(batch& failed) {
-    std::vector<commit> rest;
-    for (commit& what : failed.commits) {
-        if (is_accept(what))
-            results_.push_back({std::move(what), commit_outcome::abandoned, 0, {}});
+void commit_queue::abandon_acceptances(batch& failed_batch) {
+    std::vector<job_commit> remaining_commits;
+    for (job_commit& request : failed_batch.commits) {
+        if (is_accept(request))
+            results_.push_back({std::move(request), commit_outcome::abandoned, 0, {}});
         else
-            rest.push_back(std::move(what));
+            remaining_commits.push_back(std::move(request));
     }
-    failed.commits = std::move(rest);
-    failed.call = {};
-    failed.call.conditions.push_back({entry_key(session_.name), entry_revision_});
-    for (const commit& what : failed.commits)
-        append(failed.call, what);
+    failed_batch.commits = std::move(remaining_commits);
+    failed_batch.call = {};
+    failed_batch.call.conditions.push_back({entry_key(session_.name), entry_revision_});
+    for (const job_commit& request : failed_batch.commits)
+        append_changes(failed_batch.call, request);
 }
 
 } // namespace persimmonstile
--- a/coordination/commit_queue.h
+++ b/coordination/commit_queue.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "coordination/commit.h"
+#include "coordination/job_commit.h"
 #include "coordination/round_trip_estimate.h"
 #include "state/store_call.h"
 #include "state/store_reply.h"
@@ -33,7 +33,7 @@
     void clear_session();
     bool has_session() const { return entry_revision_ != 0; }
 
-    void add(commit what, time_point now);
+    void add(job_commit request, time_point now);
 
     // Processes the store's reply to a write. Returns true if the reply shows that the session is deposed.
     bool replied(std::uint64_t id, const store_reply& reply, time_point now);
@@ -46,40 +46,40 @@
     // Time of the first write that failed or got no answer since the store last answered one; empty if there
     // is none.
     std::optional<time_point> failing_since() const { return failing_since_; }
-    bool is_empty() const { return queue_.empty() && batches_.empty(); }
+    bool is_empty() const { return pending_commits_.empty() && batches_.empty(); }
 
 private:
     // Commits that are sent as one write.
     struct batch {
-        std::vector<commit> commits;
+        std::vector<job_commit> commits;
         store_write call;
-        time_point created{};
-        time_point sent{};
+        time_point created_at{};
+        time_point last_attempt_at{};
         // Time of the next attempt; empty while an attempt is in flight.
-        std::optional<time_point> send_at;
+        std::optional<time_point> next_attempt_at;
         // An earlier attempt got no answer and may still take effect.
         bool is_outcome_unknown = false;
         unsigned attempts = 0;
     };
 
-    static std::size_t entries_of(const commit& what);
-    void append(store_write& call, const commit& what) const;
-    void fill(batch& next);
-    void finish(batch& ended, const write_applied& reply);
+    static std::size_t count_entries(const job_commit& request);
+    void append_changes(store_write& call, const job_commit& request) const;
+    void fill_batch(batch& next);
+    void add_durable_results(batch& ended_batch, const write_applied& reply);
     // Returns false if the session is deposed.
-    bool settle_conflict(batch& failed, const write_conflict& reply, time_point now);
-    void retry(batch& failed, const store_failure& failure, time_point now);
-    void give_up(batch& failed);
+    bool resolve_conflict(batch& failed_batch, const write_conflict& reply, time_point now);
+    void schedule_retry(batch& failed_batch, const store_failure& failure, time_point now);
+    void abandon_acceptances(batch& failed_batch);
 
     incarnation session_;
     std::uint64_t entry_revision_ = 0;
-    std::deque<commit> queue_;
+    std::deque<job_commit> pending_commits_;
     std::map<std::uint64_t, batch> batches_;
     std::uint64_t last_id_ = 0;
     std::vector<commit_result> results_;
     round_trip_estimate round_trip_;
     std::optional<time_point> failing_since_;
-    time_point last_sent_{};
+    time_point last_batch_sent_at_{};
 };
 
 } // namespace persimmonstile
--- a/coordination/ended_jobs.h
+++ b/coordination/ended_jobs.h
@@ -32,7 +32,7 @@
     }
 
     // Removes and returns the job that ended first, if it ended at or before the limit.
-    std::optional<std::pair<job_id, ended_job>> take_older(time_point limit) {
+    std::optional<std::pair<job_id, ended_job>> take_ended_by(time_point limit) {
         if (order_.empty() || order_.front().first > limit)
             return std::nullopt;
         const job_id job = std::move(order_.front().second);
--- a/coordination/entry_agents.cpp
+++ b/coordination/entry_agents.cpp
@@ -5,7 +5,7 @@
 
 namespace persimmonstile {
 
-void entry_core::welcome(const agent_view& agent) {
+void entry_core::send_welcome(const agent_view& agent) {
     if (agent.link == 0)
         return;
     entry_welcome message;
@@ -29,7 +29,7 @@
 void entry_core::send_welcome_to_all() {
     sent_addresses_ = entry_addresses();
     for (const auto& [number, agent] : agents_.all())
-        welcome(agent);
+        send_welcome(agent);
 }
 
 void entry_core::receive(link_number link, const agent_profile& profile, time_point) {
@@ -38,23 +38,24 @@
     const bool is_new_backend =
         agent.profile.backend.id != profile.backend.id || agent.profile.backend.life != profile.backend.life;
     if (profile.is_suspect != agent.profile.is_suspect)
-        note(profile.is_suspect ? "backend server is suspect" : "backend server is tried again", {},
-             {{"agent", agent.name}}, profile.is_suspect);
+        record_decision(profile.is_suspect ? "backend server is suspect" : "backend server is tried again",
+                        {}, {{"agent", agent.name}}, profile.is_suspect);
     agent.profile = profile;
     if (is_new_backend) {
         agent.slowness = speed_estimate{16};
     }
     if (is_new_link) {
         agents_.connect(agent, link);
-        note("agent connected", {}, {{"agent", agent.name}, {"accepts", profile.accepts_runs ? 1 : 0}});
-        welcome(agent);
+        record_decision("agent connected", {},
+                        {{"agent", agent.name}, {"accepts", profile.accepts_runs ? 1 : 0}});
+        send_welcome(agent);
         for (const auto& [former, state] : successions_) {
             if (!state.is_settled)
                 output_.messages.emplace_back(link, owner_succession{former, session()});
         }
         agent.room = profile.room;
     } else {
-        take_room(agent, profile.room);
+        update_free_capacity(agent, profile.room);
     }
     agent.is_recorded = members().agents().contains(agent.name);
     is_plan_needed_ = true;
@@ -78,7 +79,7 @@
     return session().number != 0 && now - keeper_.last_contact() < limits_.store_contact_timeout;
 }
 
-void entry_core::take_room(agent_view& agent, const agent_free_capacity& room) {
+void entry_core::update_free_capacity(agent_view& agent, const agent_free_capacity& room) {
     agent.room = room;
     while (!agent.unacknowledged_starts.empty() &&
            agent.unacknowledged_starts.front().first <= room.received_starts)
@@ -92,8 +93,8 @@
         return;
     record_contact(*agent, message.sent_ns, now);
     for (const run_report& report : message.reports)
-        take_report(*agent, report, now);
-    take_room(*agent, message.room);
+        apply_report(*agent, report, now);
+    update_free_capacity(*agent, message.room);
 }
 
 void entry_core::receive(link_number link, const run_inventory& message, time_point now) {
@@ -101,24 +102,24 @@
     if (agent == nullptr)
         return;
     if (message.owner.name.empty()) {
-        claim(*agent, message, now);
+        claim_orphans(*agent, message, now);
         return;
     }
     std::set<run_ref> listed;
     for (const run_report& report : message.reports) {
         listed.insert(report.run);
-        take_report(*agent, report, now);
+        apply_report(*agent, report, now);
     }
     if (message.owner != session() && message.owner != process_) {
-        confirm(agent->name, message.owner);
+        record_succession_answer(agent->name, message.owner);
         is_session_update_needed_ = true;
         return;
     }
     // If the agent has received the start message but does not list the run, the run is not running there and
     // never will be.
     const bool is_durable = message.owner == session();
-    const std::map<run_ref, std::uint64_t> believed = agent->runs;
-    for (const auto& [run, start] : believed) {
+    const std::map<run_ref, std::uint64_t> known_runs = agent->runs;
+    for (const auto& [run, start] : known_runs) {
         const ledger_job* job = ledger_.find(run.task.job);
         if (start <= message.received_starts && !listed.contains(run) &&
             (job == nullptr || job->is_durable() == is_durable))
@@ -130,30 +131,30 @@
 
 // A restarted agent has found these runs on its backend server. Claims those that belong to jobs of this
 // entry.
-void entry_core::claim(agent_view& agent, const run_inventory& orphans, time_point now) {
-    run_claim kept{session(), true, {}};
-    run_claim unkept{process_, false, {}};
+void entry_core::claim_orphans(agent_view& agent, const run_inventory& orphans, time_point now) {
+    run_claim durable_claim{session(), true, {}};
+    run_claim non_durable_claim{process_, false, {}};
     for (const run_report& report : orphans.reports) {
         ledger_job* job = ledger_.find(report.run.task.job);
         if (job == nullptr) {
             // The job has ended here, so no other entry will record the end of the run.
-            if (ended_.find(report.run.task.job) != nullptr && report.awaits_record)
+            if (ended_jobs_.find(report.run.task.job) != nullptr && report.awaits_record)
                 acknowledge(agent.number, report.backend_life, report.end_number);
             else
                 orphans_.add(agent.number, report, true, now);
             continue;
         }
         if (report.run.task.step < job->record->plan.steps.size())
-            (job->is_durable() ? kept : unkept)
+            (job->is_durable() ? durable_claim : non_durable_claim)
                 .runs.push_back({report.run, job->step(report.run.task.step).task_needs});
-        take_report(agent, report, now);
+        apply_report(agent, report, now);
         // Inventories that the agent made before the claim do not contain the run. They must not make it
         // count as lost.
         const auto run = agent.runs.find(report.run);
         if (run != agent.runs.end())
             run->second = agent_view::claimed;
     }
-    for (run_claim* message : {&kept, &unkept}) {
+    for (run_claim* message : {&durable_claim, &non_durable_claim}) {
         if (!message->runs.empty())
             output_.messages.emplace_back(agent.link, std::move(*message));
     }
@@ -165,7 +166,7 @@
                        [&](const auto& entry) { return name_ < entry.second.name; });
 }
 
-void entry_core::orphan_checked(std::uint64_t question, const store_reply& answer, time_point now) {
+void entry_core::process_orphan_check(std::uint64_t question, const store_reply& answer, time_point now) {
     const std::optional<orphan_runs::orphan> unclaimed = orphans_.answered(question, answer, now);
     if (!unclaimed)
         return;
@@ -183,11 +184,11 @@
     run_report report;
     report.run = run;
     report.state = run_state::lapsed;
-    take_report(agent, report, now);
+    apply_report(agent, report, now);
     agent.runs.erase(run);
 }
 
-void entry_core::take_report(agent_view& agent, const run_report& report, time_point now) {
+void entry_core::apply_report(agent_view& agent, const run_report& report, time_point now) {
     const job_id& id = report.run.task.job;
     if (is_final(report.state))
         agent.runs.erase(report.run);
@@ -195,41 +196,41 @@
     if (job == nullptr) {
         // If the job has ended here, the end is no longer needed. Otherwise the job may belong to another
         // entry, which still needs the end.
-        if (report.awaits_record && ended_.find(id) != nullptr)
+        if (report.awaits_record && ended_jobs_.find(id) != nullptr)
             acknowledge(agent.number, report.backend_life, report.end_number);
         else if (report.awaits_record)
             orphans_.add(agent.number, report, false, now);
         return;
     }
     const ledger_task* before = job_ledger::find_task(*job, report.run.task);
-    const ledger_task copy = before != nullptr ? *before : ledger_task{};
-    const report_effect effect = job_ledger::take_report(*job, report, agent.number, now);
+    const ledger_task task_before = before != nullptr ? *before : ledger_task{};
+    const report_effect effect = job_ledger::apply_report(*job, report, agent.number, now);
     if (!is_final(report.state) && effect != report_effect::nothing)
         agent.runs.try_emplace(report.run, 0);
     if (report.awaits_record && job->is_durable())
-        job->unrecorded.push_back({agent.number, report.backend_life, report.end_number, now});
-    learn(agent, *job, report, copy);
+        job->unacknowledged_ends.push_back({agent.number, report.backend_life, report.end_number, now});
+    update_run_time_estimates(agent, *job, report, task_before);
     switch (effect) {
     case report_effect::nothing:
         return;
     case report_effect::started:
-        measure(entry_timing::start, now - copy.placed);
-        mark_begun(*job);
+        record_timing(entry_timing::start, now - task_before.placed);
+        mark_started(*job);
         return;
     case report_effect::done:
-        mark_begun(*job);
-        task_done(*job, report.run.task, now);
+        mark_started(*job);
+        process_finished_task(*job, report.run.task, now);
         return;
     case report_effect::failed: {
         const ledger_task* task = job_ledger::find_task(*job, report.run.task);
-        note("run failed", id,
-             {{"step", report.run.task.step},
-              {"task", report.run.task.index},
-              {"run", static_cast<std::int64_t>(report.run.run)},
-              {"agent", agent.name},
-              {"failures", task->failures},
-              {"attempts", job->record->max_attempts}},
-             true);
+        record_decision("run failed", id,
+                        {{"step", report.run.task.step},
+                         {"task", report.run.task.index},
+                         {"run", static_cast<std::int64_t>(report.run.run)},
+                         {"agent", agent.name},
+                         {"failures", task->failures},
+                         {"attempts", job->record->max_attempts}},
+                        true);
         if (task->failures >= job->record->max_attempts && job->phase == job_phase::open)
             end_job(*job, job_state::failed, now);
         is_plan_needed_ = true;
@@ -237,46 +238,46 @@
     }
     case report_effect::waiting:
         if (report.state == run_state::refused)
-            agent.refused_until = now + limits_.refusal_pause;
-        note("run ended without a result", id,
-             {{"step", report.run.task.step},
-              {"task", report.run.task.index},
-              {"run", static_cast<std::int64_t>(report.run.run)},
-              {"agent", agent.name},
-              {"state", std::string{to_string(report.state)}},
-              {"reason", std::string{to_string(report.reason)}}});
+            agent.refused_until = now + limits_.refusal_backoff;
+        record_decision("run ended without a result", id,
+                        {{"step", report.run.task.step},
+                         {"task", report.run.task.index},
+                         {"run", static_cast<std::int64_t>(report.run.run)},
+                         {"agent", agent.name},
+                         {"state", std::string{to_string(report.state)}},
+                         {"reason", std::string{to_string(report.reason)}}});
         is_plan_needed_ = true;
         return;
     }
 }
 
-void entry_core::learn(agent_view& agent, ledger_job& job, const run_report& report,
-                       const ledger_task& task) {
+void entry_core::update_run_time_estimates(agent_view& agent, ledger_job& job, const run_report& report,
+                                           const ledger_task& task) {
     if (report.state == run_state::done && task.run == report.run.run && report.run_us > 0 &&
         report.run.task.step < job.record->plan.steps.size()) {
-        measure(entry_timing::run, report.run_time());
+        record_timing(entry_timing::run, report.run_time());
         const milliseconds estimate = job.step(report.run.task.step).estimate();
         const std::string& queue = job.record->queue;
-        const double expected = times_.expected_seconds(queue, estimate);
+        const double expected = run_time_model_.expected_seconds(queue, estimate);
         const double measured = std::chrono::duration<double>{report.run_time()}.count();
-        times_.observe(queue, estimate, report.run_time(), agent.slowness.value_or(1.0));
+        run_time_model_.observe(queue, estimate, report.run_time(), agent.slowness.value_or(1.0));
         if (expected > 0)
             agent.slowness.observe(measured / expected, 1.0);
     }
 }
 
-void entry_core::mark_begun(ledger_job& job) {
-    job.has_begun = true;
+void entry_core::mark_started(ledger_job& job) {
+    job.has_started = true;
     if (job.state == job_state::queued)
         job.state = job_state::running;
 }
 
-void entry_core::task_done(ledger_job& job, const task_ref& task, time_point now) {
+void entry_core::process_finished_task(ledger_job& job, const task_ref& task, time_point now) {
     ledger_occurrence& occurrence = job.occurrences[task.occurrence];
     is_plan_needed_ = true;
-    const bool is_over = std::all_of(occurrence.remaining.begin(), occurrence.remaining.end(),
-                                     [](std::uint32_t remaining) { return remaining == 0; });
-    if (!is_over)
+    const bool is_occurrence_done = std::all_of(occurrence.remaining.begin(), occurrence.remaining.end(),
+                                                [](std::uint32_t remaining) { return remaining == 0; });
+    if (!is_occurrence_done)
         return;
     if (--job.occurrences_left == 0 && job.phase == job_phase::open)
         end_job(job, job_state::completed, now);
@@ -287,9 +288,9 @@
 }
 
 void entry_core::acknowledge_all(ledger_job& job) {
-    for (const unacknowledged_end& end : job.unrecorded)
+    for (const unacknowledged_end& end : job.unacknowledged_ends)
         acknowledge(end.agent, end.backend_life, end.number);
-    job.unrecorded.clear();
+    job.unacknowledged_ends.clear();
 }
 
 // Treats the runs of a disconnected agent as lost once their leases have certainly expired.
@@ -299,22 +300,23 @@
         if (agent.link != 0 || agent.runs.empty())
             continue;
         const std::map<run_ref, std::uint64_t> runs = agent.runs;
-        bool has_lost = false;
+        bool has_lost_runs = false;
         for (const auto& [run, start] : runs) {
             const ledger_job* job = ledger_.find(run.task.job);
             const bool is_durable = job != nullptr && job->is_durable();
-            const milliseconds contact =
-                is_durable ? owner_contact_lease : caller_contact_lease(limits_.caller_resend);
-            if (now < agent.heard + contact + lease)
+            const milliseconds contact_lease =
+                is_durable ? owner_contact_lease : caller_contact_lease(limits_.caller_resend_delay);
+            if (now < agent.heard + contact_lease + lease)
                 continue;
             mark_run_lost(agent, run, now);
-            has_lost = true;
+            has_lost_runs = true;
         }
-        if (!has_lost)
+        if (!has_lost_runs)
             continue;
-        note("runs of an unreachable agent have ended", {},
-             {{"agent", agent.name}, {"runs", static_cast<std::int64_t>(runs.size() - agent.runs.size())}},
-             true);
+        record_decision(
+            "runs of an unreachable agent have ended", {},
+            {{"agent", agent.name}, {"runs", static_cast<std::int64_t>(runs.size() - agent.runs.size())}},
+            true);
     }
 }
 
--- a/coordination/entry_callers.cpp
+++ b/coordination/entry_callers.cpp
@@ -1,5 +1,5 @@
 #include "coordination/entry_core.h"
-#include "coordination/job_course.h"
+#include "coordination/job_summary.h"
 #include "coordination/queue_router.h"
 
 #include <algorithm>
@@ -33,33 +33,34 @@
 }
 
 void entry_core::refuse(const job_submission& request, submit_refusal reason, milliseconds retry_after) {
-    note("refused a job", request.job, {{"queue", request.queue}, {"reason", std::string{to_string(reason)}}},
-         true);
+    record_decision("refused a job", request.job,
+                    {{"queue", request.queue}, {"reason", std::string{to_string(reason)}}}, true);
     output_.replies.push_back(
         {request.token, caller_reply_kind::refused, job_state::unknown, reason, retry_after});
 }
 
 void entry_core::submit(const job_submission& request, time_point now, wall_time wall) {
     wall_ = wall;
-    if (const auto* ended = ended_.find(request.job)) {
+    if (const auto* ended = ended_jobs_.find(request.job)) {
         reply(request.token, ended->is_durable ? caller_reply_kind::accepted : caller_reply_kind::state,
               ended->state);
         return;
     }
     if (const ledger_job* known = ledger_.find(request.job)) {
         if (!known->is_durable()) {
-            ending_.add(request.job, {request.token, request.answer_by - reply_margin, false});
+            end_waiters_.add(request.job, {request.token, request.answer_by - reply_margin, false});
             ledger_.find(request.job)->answer_by =
                 std::max(known->answer_by, request.answer_by - reply_margin);
         } else if (known->phase == job_phase::accepting)
-            accepting_.add(request.job, {request.token, request.answer_by - reply_margin, false});
+            acceptance_waiters_.add(request.job, {request.token, request.answer_by - reply_margin, false});
         else
             reply(request.token, caller_reply_kind::accepted, known->state);
         return;
     }
     // A non-durable job that arrives on a connection that is still open can end before the process exits.
-    const bool is_servable = !request.plan.is_durable && !keeper_.has_left() && now < hand_over_at_;
-    if (now >= refuse_at_ && !is_servable) {
+    const bool can_finish_before_exit =
+        !request.plan.is_durable && !keeper_.has_left() && now < hand_over_at_;
+    if (now >= refuse_at_ && !can_finish_before_exit) {
         refuse(request, submit_refusal::shutting_down, milliseconds{0});
         return;
     }
@@ -69,7 +70,7 @@
         return;
     }
     if (!request.plan.is_durable) {
-        submit_unkept(request, *queue, now);
+        submit_non_durable(request, *queue, now);
         return;
     }
     if (!commits_.has_session()) {
@@ -82,79 +83,80 @@
     }
     auto record = make_record(request, *queue, unix_time_ms(wall));
     ledger_.add(request.job, record, session(), 0, now);
-    accepting_.add(request.job, {request.token, request.answer_by - reply_margin, false});
-    commits_.add({request.job, commit_accept{record}}, now);
+    acceptance_waiters_.add(request.job, {request.token, request.answer_by - reply_margin, false});
+    commits_.add({request.job, acceptance_commit{record}}, now);
 }
 
 // Accepts a non-durable job. Nothing is written to the store, and its runs are stopped when its last caller
 // leaves.
-void entry_core::submit_unkept(const job_submission& request, const queue_policy& queue, time_point now) {
+void entry_core::submit_non_durable(const job_submission& request, const queue_policy& queue,
+                                    time_point now) {
     ledger_job& job =
         ledger_.add(request.job, make_record(request, queue, unix_time_ms(wall_)), process_, 0, now);
     job.phase = job_phase::open;
     job.answer_by = request.answer_by - reply_margin;
-    ending_.add(request.job, {request.token, job.answer_by, false});
+    end_waiters_.add(request.job, {request.token, job.answer_by, false});
     is_plan_needed_ = true;
-    note("accepted a job", request.job, {{"queue", queue.name}, {"kept", 0}});
+    record_decision("accepted a job", request.job, {{"queue", queue.name}, {"kept", 0}});
 }
 
-void entry_core::finish_unkept(ledger_job& job, job_state state, time_point now) {
+void entry_core::finish_non_durable(ledger_job& job, job_state state, time_point now) {
     const job_id id = job.id;
     job.state = state;
     stop_runs_of(job);
-    note_end(job, now);
+    log_job_end(job, now);
     acknowledge_all(job);
-    ended_.add(id, {state, false}, now);
-    answer_waiting(id, state);
+    ended_jobs_.add(id, {state, false}, now);
+    answer_end_waiters(id, state);
     ledger_.erase(id);
 }
 
 // Failed and late jobs have their own messages. The logger limits the number of lines with the same message,
 // and the lines of other jobs must not use up that limit.
-void entry_core::note_end(const ledger_job& job, time_point now) {
+void entry_core::log_job_end(const ledger_job& job, time_point now) {
     auto inputs = summarize_job(job, now);
     inputs.emplace_back("state", std::string{to_string(job.state)});
     if (job.is_durable())
         inputs.emplace_back("record_us", std::chrono::duration_cast<microseconds>(now - job.ended).count());
     const queue_policy* queue = config_ ? find_queue_named(*config_, job.record->queue) : nullptr;
-    const time_point in_time = times_.target_of(job, queue).in_time;
+    const time_point in_time = run_time_model_.target_of(job, queue).in_time;
     if (job.state == job_state::failed)
-        note("job failed", job.id, std::move(inputs), true);
+        record_decision("job failed", job.id, std::move(inputs), true);
     else if (job.state == job_state::completed && now > in_time)
-        note("job ended late", job.id, std::move(inputs), true);
+        record_decision("job ended late", job.id, std::move(inputs), true);
     else
-        note("job ended", job.id, std::move(inputs));
+        record_decision("job ended", job.id, std::move(inputs));
 }
 
 // Drops a non-durable job that no caller waits for any more.
-void entry_core::drop_unkept(const job_id& id, time_point now) {
+void entry_core::drop_non_durable(const job_id& id, time_point now) {
     ledger_job* job = ledger_.find(id);
     if (job == nullptr || job->is_durable())
         return;
-    note("dropped a job whose callers have left", id, summarize_job(*job, now), true);
+    record_decision("dropped a job whose callers have left", id, summarize_job(*job, now), true);
     stop_runs_of(*job);
     acknowledge_all(*job);
     ledger_.erase(id);
-    ending_.take(id);
+    end_waiters_.take(id);
     is_plan_needed_ = true;
 }
 
 // Since no task of the job was ever sent to an agent, the job has certainly not run. Its callers are told so
 // at once and may retry.
-void entry_core::refuse_waiting(ledger_job& job, std::string_view reason, time_point now) {
-    if (job.is_durable() || job.first_placed)
+void entry_core::refuse_unplaced_job(ledger_job& job, std::string_view reason, time_point now) {
+    if (job.is_durable() || job.first_placed_at)
         return;
     const job_id id = job.id;
     auto inputs = summarize_job(job, now);
     inputs.emplace_back("reason", std::string{reason});
-    note("refused a job that found no room", id, std::move(inputs), true);
+    record_decision("refused a job that found no room", id, std::move(inputs), true);
     ledger_.erase(id);
-    for (const waiting_caller& caller : ending_.take(id))
+    for (const waiting_caller& caller : end_waiters_.take(id))
         output_.replies.push_back({caller.token, caller_reply_kind::refused, job_state::unknown,
                                    submit_refusal::overloaded, default_retry_delay});
 }
 
-void entry_core::drop_expired(time_point now) {
+void entry_core::drop_expired_jobs(time_point now) {
     std::vector<job_id> expired;
     for (const auto& [id, job] : ledger_.jobs()) {
         if (!job.is_durable() && now >= job.answer_by)
@@ -162,28 +164,28 @@
     }
     for (const job_id& id : expired) {
         ledger_job& job = *ledger_.find(id);
-        if (!job.first_placed) {
-            refuse_waiting(job, "caller's time is over", now);
+        if (!job.first_placed_at) {
+            refuse_unplaced_job(job, "caller's time is over", now);
             continue;
         }
         // A run may have started, so it is uncertain whether the job has run.
-        for (const waiting_caller& caller : ending_.take(id))
+        for (const waiting_caller& caller : end_waiters_.take(id))
             reply(caller.token, caller_reply_kind::uncertain);
-        drop_unkept(id, now);
+        drop_non_durable(id, now);
     }
 }
 
 void entry_core::caller_left(caller_token token, time_point now) {
-    if (accepting_.remove(token))
+    if (acceptance_waiters_.remove(token))
         return;
-    const std::optional<job_id> job = ending_.remove(token);
-    if (job && !ending_.has_callers(*job))
-        drop_unkept(*job, now);
+    const std::optional<job_id> job = end_waiters_.remove(token);
+    if (job && !end_waiters_.has_callers(*job))
+        drop_non_durable(*job, now);
 }
 
 // Answers all callers that wait for the end of the job. The end must be final.
-void entry_core::answer_waiting(const job_id& job, job_state state) {
-    for (const waiting_caller& caller : ending_.take(job))
+void entry_core::answer_end_waiters(const job_id& job, job_state state) {
+    for (const waiting_caller& caller : end_waiters_.take(job))
         reply(caller.token, caller.is_cancellation ? caller_reply_kind::cancelled : caller_reply_kind::state,
               state);
 }
@@ -192,8 +194,8 @@
     return job.is_durable() ? session() : process_;
 }
 
-void entry_core::ask_state(caller_token token, const job_id& job, time_point answer_by, time_point now) {
-    if (const auto* ended = ended_.find(job)) {
+void entry_core::query_state(caller_token token, const job_id& job, time_point answer_by, time_point now) {
+    if (const auto* ended = ended_jobs_.find(job)) {
         reply(token, caller_reply_kind::state, ended->state);
         return;
     }
@@ -204,7 +206,8 @@
     }
     if (known->phase == job_phase::ending) {
         // The end is being written. After a wait of a few milliseconds the caller gets the final state.
-        ending_.add(job, {token, std::min(now + limits_.end_commit_wait, answer_by - reply_margin), false});
+        end_waiters_.add(job,
+                         {token, std::min(now + limits_.end_commit_wait, answer_by - reply_margin), false});
         return;
     }
     reply(token, caller_reply_kind::state, known->state);
@@ -213,7 +216,7 @@
 void entry_core::cancel(caller_token token, const job_id& job, time_point answer_by, time_point now,
                         wall_time wall) {
     wall_ = wall;
-    if (const auto* ended = ended_.find(job)) {
+    if (const auto* ended = ended_jobs_.find(job)) {
         reply(token, caller_reply_kind::cancelled, ended->state);
         return;
     }
@@ -221,44 +224,44 @@
     if (known == nullptr || known->phase == job_phase::accepting)
         locator_.ask(token, job, true, answer_by - reply_margin, now);
     else
-        cancel_own(*known, token, answer_by - reply_margin, now);
+        cancel_own_job(*known, token, answer_by - reply_margin, now);
 }
 
-void entry_core::cancel_own(ledger_job& job, caller_token token, time_point answer_by, time_point now) {
-    ending_.add(job.id, {token, answer_by, true});
+void entry_core::cancel_own_job(ledger_job& job, caller_token token, time_point answer_by, time_point now) {
+    end_waiters_.add(job.id, {token, answer_by, true});
     if (job.phase != job_phase::open)
         return;
-    note("cancelled a job", job.id, {{"queue", job.record->queue}});
+    record_decision("cancelled a job", job.id, {{"queue", job.record->queue}});
     end_job(job, job_state::cancelled, now);
 }
 
-void entry_core::answer_own(const job_locator::own_job& asked, time_point now) {
-    ledger_job* known = ledger_.find(asked.job);
-    if (const auto* ended = ended_.find(asked.job))
-        reply(asked.token, asked.is_cancellation ? caller_reply_kind::cancelled : caller_reply_kind::state,
+void entry_core::answer_own_job(const job_locator::own_job& lookup, time_point now) {
+    ledger_job* known = ledger_.find(lookup.job);
+    if (const auto* ended = ended_jobs_.find(lookup.job))
+        reply(lookup.token, lookup.is_cancellation ? caller_reply_kind::cancelled : caller_reply_kind::state,
               ended->state);
-    else if (known != nullptr && known->phase != job_phase::accepting && asked.is_cancellation)
-        cancel_own(*known, asked.token, asked.answer_by, now);
+    else if (known != nullptr && known->phase != job_phase::accepting && lookup.is_cancellation)
+        cancel_own_job(*known, lookup.token, lookup.answer_by, now);
     else if (known != nullptr)
-        reply(asked.token, caller_reply_kind::state, known->state);
-    else if (asked.is_cancellation)
+        reply(lookup.token, caller_reply_kind::state, known->state);
+    else if (lookup.is_cancellation)
         // The job may belong to a former session whose jobs have not been read yet.
-        reply(asked.token, caller_reply_kind::uncertain);
+        reply(lookup.token, caller_reply_kind::uncertain);
     else
-        reply(asked.token, caller_reply_kind::state, job_state::queued);
+        reply(lookup.token, caller_reply_kind::state, job_state::queued);
 }
 
 // Answers the callers whose deadline has passed, with the state known so far.
 void entry_core::answer_expired(time_point now) {
-    for (const auto& [id, caller] : accepting_.take_expired(now))
+    for (const auto& [id, caller] : acceptance_waiters_.take_expired(now))
         reply(caller.token, caller_reply_kind::uncertain);
-    for (const auto& [id, caller] : ending_.take_expired(now)) {
+    for (const auto& [id, caller] : end_waiters_.take_expired(now)) {
         const ledger_job* job = ledger_.find(id);
         if (caller.is_cancellation || job == nullptr || !job->is_durable())
             reply(caller.token, caller_reply_kind::uncertain);
         else
             reply(caller.token, caller_reply_kind::state,
-                  job->has_begun ? job_state::running : job_state::queued);
+                  job->has_started ? job_state::running : job_state::queued);
     }
 }
 
@@ -288,19 +291,19 @@
 
 void entry_core::send_counts(time_point now) {
     const bool is_config_new = operator_records_.change_revision() != sent_config_revision_;
-    if (now - last_count_ < limits_.count_interval && !is_config_new)
+    if (now - counts_sent_at_ < limits_.count_interval && !is_config_new)
         return;
-    last_count_ = now;
+    counts_sent_at_ = now;
     std::map<std::string, std::uint64_t> counts = own_counts();
     if (counts == sent_counts_ && !is_config_new)
         return;
     sent_counts_ = std::move(counts);
     sent_config_revision_ = operator_records_.change_revision();
     for (const auto& [link, peer] : peers_)
-        output_.messages.emplace_back(link, counts_message());
+        output_.messages.emplace_back(link, make_counts_message());
 }
 
-queue_counts entry_core::counts_message() const {
+queue_counts entry_core::make_counts_message() const {
     queue_counts message;
     for (const auto& [queue, pending_jobs] : sent_counts_)
         message.counts.push_back({queue, pending_jobs});
--- a/coordination/entry_core.cpp
+++ b/coordination/entry_core.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Each watch of the operators' records stays open for config_bound divided by this. A silent connection to
-// the store is detected after that time plus the slack of the watch.
+// Each watch of the operators' records stays open for max_config_delay divided by this. A silent connection
+// to the store is detected after that time plus the slack of the watch.
 constexpr int config_watch_divisor = 2;
 
 // Timeout for reading one record. The store answers within milliseconds.
@@ -26,11 +26,12 @@
     , zone_{self.zone}
     , limits_{limits}
     , keeper_{std::move(self), std::move(next_session), seed}
-    , operator_records_{config_prefix, limits.config_bound / config_watch_divisor}
+    , operator_records_{config_prefix, limits.max_config_delay / config_watch_divisor}
     , planner_{zone_, limits.remote_data_factor, seed} {}
 
-void entry_core::note(std::string_view what, const job_id& job,
-                      std::vector<std::pair<std::string_view, decision::value>> inputs, bool is_warning) {
+void entry_core::record_decision(std::string_view what, const job_id& job,
+                                 std::vector<std::pair<std::string_view, decision::value>> inputs,
+                                 bool is_warning) {
     output_.decisions.push_back({what, job, std::move(inputs), is_warning});
 }
 
@@ -40,10 +41,10 @@
 
 void entry_core::set_config(std::shared_ptr<const deployment_config> config, time_point now) {
     const bool zones_changed = !config_ || config_->zones_version != config->zones_version;
-    note("configuration in use", {},
-         {{"version", static_cast<std::int64_t>(config->version)},
-          {"queues", static_cast<std::int64_t>(config->queues.size())},
-          {"zones_out", static_cast<std::int64_t>(config->zones_out.size())}});
+    record_decision("configuration in use", {},
+                    {{"version", static_cast<std::int64_t>(config->version)},
+                     {"queues", static_cast<std::int64_t>(config->queues.size())},
+                     {"zones_out", static_cast<std::int64_t>(config->zones_out.size())}});
     config_ = std::move(config);
     if (zones_changed)
         send_welcome_to_all();
@@ -61,8 +62,9 @@
     is_session_update_needed_ = true;
     peers_.erase(link);
     if (agent_view* agent = agents_.by_link(link)) {
-        note("lost the connection to an agent", {},
-             {{"agent", agent->name}, {"runs", static_cast<std::int64_t>(agent->runs.size())}}, true);
+        record_decision("lost the connection to an agent", {},
+                        {{"agent", agent->name}, {"runs", static_cast<std::int64_t>(agent->runs.size())}},
+                        true);
         agents_.disconnect(*agent);
     }
 }
@@ -92,7 +94,7 @@
     peer.session = message.session;
     if (is_new) {
         output_.messages.emplace_back(link, peer_hello{name_, session()});
-        output_.messages.emplace_back(link, counts_message());
+        output_.messages.emplace_back(link, make_counts_message());
     }
 }
 
@@ -100,7 +102,7 @@
     job_lookup_reply answer;
     answer.token = message.token;
     ledger_job* known = ledger_.find(message.job);
-    if (const auto* ended = ended_.find(message.job)) {
+    if (const auto* ended = ended_jobs_.find(message.job)) {
         answer.is_known = true;
         answer.state = ended->state;
     } else if (known != nullptr && known->phase != job_phase::accepting) {
@@ -128,40 +130,40 @@
 }
 
 void entry_core::collect_store_calls(time_point now) {
-    const auto send = [&](store_user user, std::uint64_t id, store_call call, milliseconds timeout) {
-        store_ids_[++last_store_id_] = {user, id};
+    const auto send = [&](store_call_source source, std::uint64_t id, store_call call, milliseconds timeout) {
+        pending_store_calls_[++last_store_id_] = {source, id};
         output_.store_calls.push_back({last_store_id_, std::move(call), timeout});
     };
     for (commit_queue::write& write : commits_.take_writes(now))
-        send(store_user::commits, write.id, std::move(write.call), write.timeout);
+        send(store_call_source::commits, write.id, std::move(write.call), write.timeout);
     if (is_session_update_needed_) {
         for (session_keeper::call& call : keeper_.take_calls(now))
-            send(store_user::keeper, call.id, std::move(call.what), call.timeout);
+            send(store_call_source::keeper, call.id, std::move(call.what), call.timeout);
     }
     for (prefix_view::call& call : operator_records_.take_calls(now))
-        send(store_user::operators, call.id, std::move(call.what), call.timeout);
+        send(store_call_source::operators, call.id, std::move(call.what), call.timeout);
     for (const auto& [question, job] : orphans_.take_questions(is_first_entry(), now))
-        send(store_user::orphans, question, store_read{job_key(job)}, read_timeout);
+        send(store_call_source::orphans, question, store_read{job_key(job)}, read_timeout);
     for (job_locator::read& read : locator_.take_reads())
-        send(store_user::locator, read.id, store_read{job_key(read.job)}, read_timeout);
+        send(store_call_source::locator, read.id, store_read{job_key(read.job)}, read_timeout);
 }
 
 void entry_core::store_replied(std::uint64_t id, const store_reply& answer, time_point now, wall_time wall) {
     wall_ = wall;
     is_session_update_needed_ = true;
-    const auto found = store_ids_.find(id);
-    if (found == store_ids_.end())
+    const auto found = pending_store_calls_.find(id);
+    if (found == pending_store_calls_.end())
         return;
-    const auto [user, own_id] = found->second;
-    store_ids_.erase(found);
-    switch (user) {
-    case store_user::commits:
+    const auto [source, own_id] = found->second;
+    pending_store_calls_.erase(found);
+    switch (source) {
+    case store_call_source::commits:
         if (commits_.replied(own_id, answer, now))
             keeper_.deposed(now);
         for (const commit_result& result : commits_.take_results())
-            committed(result, now);
+            process_commit_result(result, now);
         break;
-    case store_user::keeper:
+    case store_call_source::keeper:
         keeper_.replied(own_id, answer, now);
         for (auto& [number, agent] : agents_.all()) {
             const bool is_recorded = members().agents().contains(agent.name);
@@ -171,13 +173,13 @@
             }
         }
         break;
-    case store_user::operators:
+    case store_call_source::operators:
         operator_records_.replied(own_id, answer, now);
         break;
-    case store_user::orphans:
-        orphan_checked(own_id, answer, now);
+    case store_call_source::orphans:
+        process_orphan_check(own_id, answer, now);
         break;
-    case store_user::locator:
+    case store_call_source::locator:
         locator_.read_replied(own_id, answer, members(), session(), now);
         break;
     }
@@ -189,7 +191,7 @@
     expire_unreachable_runs(now);
     write_progress(now);
     begin_due_occurrences(now);
-    drop_expired(now);
+    drop_expired_jobs(now);
     forget_expired(now);
     locator_.tick(now);
     answer_expired(now);
@@ -216,7 +218,7 @@
         next = std::min(next, *due);
     if (const auto due = operator_records_.next_wakeup())
         next = std::min(next, *due);
-    for (const waiting_callers* waiting : {&accepting_, &ending_}) {
+    for (const waiting_callers* waiting : {&acceptance_waiters_, &end_waiters_}) {
         if (const auto due = waiting->next_expiry())
             next = std::min(next, *due);
     }
@@ -226,8 +228,8 @@
 entry_output entry_core::take_output(time_point now) {
     if (is_session_update_needed_)
         update_sessions(now);
-    for (const job_locator::own_job& asked : locator_.take_own())
-        answer_own(asked, now);
+    for (const job_locator::own_job& lookup : locator_.take_own())
+        answer_own_job(lookup, now);
     for (auto& [owner, question] : locator_.take_questions()) {
         for (const auto& [link, peer] : peers_) {
             if (peer.session == owner)
@@ -237,7 +239,7 @@
     for (caller_reply& answer : locator_.take_replies())
         output_.replies.push_back(answer);
     if (is_plan_needed_)
-        place(now);
+        place_tasks(now);
     for (auto& [key, numbers] : acknowledgements_) {
         const agent_view* agent = agents_.by_number(key.first);
         if (agent != nullptr && agent->link != 0)
@@ -254,10 +256,10 @@
     return config_ && !is_shutting_down_;
 }
 
-void entry_core::answer_all() {
-    for (waiting_callers* waiting : {&accepting_, &ending_}) {
+void entry_core::answer_waiting_callers() {
+    for (waiting_callers* waiting : {&acceptance_waiters_, &end_waiters_}) {
         for (const auto& [id, caller] : waiting->take_all()) {
-            note("answering a caller before the process ends", id, {}, true);
+            record_decision("answering a caller before the process ends", id, {}, true);
             reply(caller.token, caller_reply_kind::uncertain);
             if (const ledger_job* job = ledger_.find(id); job != nullptr && !job->is_durable())
                 stop_runs_of(*job);
@@ -269,7 +271,7 @@
     is_shutting_down_ = true;
     refuse_at_ = refuse_at;
     hand_over_at_ = hand_over_at;
-    note("shutdown begins", {}, {{"jobs", static_cast<std::int64_t>(ledger_.jobs().size())}});
+    record_decision("shutdown begins", {}, {{"jobs", static_cast<std::int64_t>(ledger_.jobs().size())}});
 }
 
 } // namespace persimmonstile
--- a/coordination/entry_core.h
+++ b/coordination/entry_core.h
@@ -49,7 +49,7 @@
 
     // Requests of callers. Each token gets one reply, unless caller_left is called before.
     void submit(const job_submission& request, time_point now, wall_time wall);
-    void ask_state(caller_token token, const job_id& job, time_point answer_by, time_point now);
+    void query_state(caller_token token, const job_id& job, time_point answer_by, time_point now);
     void cancel(caller_token token, const job_id& job, time_point answer_by, time_point now, wall_time wall);
     // The caller's connection was closed, so it gets no reply. A non-durable job is dropped when its last
     // caller leaves.
@@ -76,7 +76,7 @@
     void begin_shutdown(time_point refuse_at, time_point hand_over_at, time_point now);
     // Answers all callers that still wait, with an uncertain outcome, and stops the runs of their non-durable
     // jobs. Called right before the process exits.
-    void answer_all();
+    void answer_waiting_callers();
     bool has_left() const { return keeper_.has_left(); }
     bool is_shutting_down() const { return is_shutting_down_; }
 
@@ -96,7 +96,7 @@
     };
 
     // The component that made a call to the store and gets the reply.
-    enum class store_user : std::uint8_t { commits, keeper, locator, operators, orphans };
+    enum class store_call_source : std::uint8_t { commits, keeper, locator, operators, orphans };
 
     // Messages, by type.
     void receive(link_number link, const agent_profile& profile, time_point now);
@@ -110,72 +110,74 @@
     template <typename Other> void receive(link_number, const Other&, time_point) {}
 
     // Agents.
-    void welcome(const agent_view& agent);
+    void send_welcome(const agent_view& agent);
     void send_welcome_to_all();
     std::vector<std::string> entry_addresses() const;
     static void record_contact(agent_view& agent, std::int64_t reading_ns, time_point now);
-    void take_room(agent_view& agent, const agent_free_capacity& room);
-    void take_report(agent_view& agent, const run_report& report, time_point now);
-    static void mark_begun(ledger_job& job);
-    void learn(agent_view& agent, ledger_job& job, const run_report& report, const ledger_task& task);
-    void task_done(ledger_job& job, const task_ref& task, time_point now);
+    void update_free_capacity(agent_view& agent, const agent_free_capacity& room);
+    void apply_report(agent_view& agent, const run_report& report, time_point now);
+    static void mark_started(ledger_job& job);
+    void update_run_time_estimates(agent_view& agent, ledger_job& job, const run_report& report,
+                                   const ledger_task& task);
+    void process_finished_task(ledger_job& job, const task_ref& task, time_point now);
     void expire_unreachable_runs(time_point now);
     void mark_run_lost(agent_view& agent, const run_ref& run, time_point now);
     void acknowledge(agent_number agent, std::uint64_t life, std::uint64_t number);
     void acknowledge_all(ledger_job& job);
-    void claim(agent_view& agent, const run_inventory& orphans, time_point now);
-    void orphan_checked(std::uint64_t question, const store_reply& answer, time_point now);
+    void claim_orphans(agent_view& agent, const run_inventory& orphans, time_point now);
+    void process_orphan_check(std::uint64_t question, const store_reply& answer, time_point now);
     bool is_first_entry() const;
 
     // Jobs.
     void end_job(ledger_job& job, job_state state, time_point now);
     void stop_runs_of(const ledger_job& job);
-    void submit_unkept(const job_submission& request, const queue_policy& queue, time_point now);
-    void finish_unkept(ledger_job& job, job_state state, time_point now);
-    void note_end(const ledger_job& job, time_point now);
-    void drop_unkept(const job_id& id, time_point now);
-    void drop_expired(time_point now);
+    void submit_non_durable(const job_submission& request, const queue_policy& queue, time_point now);
+    void finish_non_durable(ledger_job& job, job_state state, time_point now);
+    void log_job_end(const ledger_job& job, time_point now);
+    void drop_non_durable(const job_id& id, time_point now);
+    void drop_expired_jobs(time_point now);
     // Refuses a non-durable job of which no task has been placed yet. Does nothing for other jobs.
-    void refuse_waiting(ledger_job& job, std::string_view reason, time_point now);
+    void refuse_unplaced_job(ledger_job& job, std::string_view reason, time_point now);
     const incarnation& owner_of(const ledger_job& job) const;
     void write_progress(time_point now);
     void begin_due_occurrences(time_point now);
-    void committed(const commit_result& result, time_point now);
-    void accept_committed(const commit_result& result, time_point now);
-    void end_committed(const commit_result& result, time_point now);
+    void process_commit_result(const commit_result& result, time_point now);
+    void process_acceptance_result(const commit_result& result, time_point now);
+    void process_end_result(const commit_result& result, time_point now);
     void forget_expired(time_point now);
-    void answer_own(const job_locator::own_job& asked, time_point now);
-    void cancel_own(ledger_job& job, caller_token token, time_point answer_by, time_point now);
+    void answer_own_job(const job_locator::own_job& lookup, time_point now);
+    void cancel_own_job(ledger_job& job, caller_token token, time_point answer_by, time_point now);
     void reply(caller_token token, caller_reply_kind kind, job_state state = job_state::unknown);
     void refuse(const job_submission& request, submit_refusal reason, milliseconds retry_after);
-    void answer_waiting(const job_id& job, job_state state);
+    void answer_end_waiters(const job_id& job, job_state state);
     void answer_expired(time_point now);
     bool is_store_failing(time_point now) const;
     static std::shared_ptr<open_job> make_record(const job_submission& request, const queue_policy& queue,
                                                  std::int64_t accepted_ms);
 
     // Placement.
-    void place(time_point now);
+    void place_tasks(time_point now);
     void send_starts(const std::vector<planned_run>& plan, time_point now);
 
     // Sessions.
     void update_sessions(time_point now);
     void take_adopted(time_point now);
-    bool may_settle(const succession& state, time_point now) const;
+    bool can_settle(const succession& state, time_point now) const;
     void settle_successions(time_point now);
-    void confirm(const std::string& agent, const incarnation& former);
-    void session_lost(time_point now);
+    void record_succession_answer(const std::string& agent, const incarnation& former);
+    void process_session_loss(time_point now);
     bool is_ownership_certain(time_point now) const;
     void collect_store_calls(time_point now);
     void send_counts(time_point now);
-    queue_counts counts_message() const;
+    queue_counts make_counts_message() const;
     std::map<std::string, std::uint64_t> own_counts() const;
 
-    void measure(entry_timing what, std::chrono::nanoseconds time) {
+    void record_timing(entry_timing what, std::chrono::nanoseconds time) {
         output_.timings.emplace_back(what, time);
     }
-    void note(std::string_view what, const job_id& job,
-              std::vector<std::pair<std::string_view, decision::value>> inputs, bool is_warning = false);
+    void record_decision(std::string_view what, const job_id& job,
+                         std::vector<std::pair<std::string_view, decision::value>> inputs,
+                         bool is_warning = false);
 
     incarnation process_;
     std::string name_;
@@ -189,24 +191,24 @@
     job_ledger ledger_;
     job_locator locator_;
     agent_directory agents_;
-    run_time_model times_;
+    run_time_model run_time_model_;
     run_planner planner_;
     std::map<incarnation, succession> successions_;
 
     std::map<link_number, peer_state> peers_;
-    ended_jobs ended_;
+    ended_jobs ended_jobs_;
     // Callers that wait for the acceptance of a job, and callers that wait for its end.
-    waiting_callers accepting_;
-    waiting_callers ending_;
+    waiting_callers acceptance_waiters_;
+    waiting_callers end_waiters_;
     orphan_runs orphans_;
     // Numbers of the recorded ends of runs to acknowledge, by agent and life of its backend server.
     std::map<std::pair<agent_number, std::uint64_t>, std::vector<std::uint64_t>> acknowledgements_;
 
     std::uint64_t last_store_id_ = 0;
     // Calls to the store without a reply: who made each one, and the maker's own id of it.
-    std::map<std::uint64_t, std::pair<store_user, std::uint64_t>> store_ids_;
+    std::map<std::uint64_t, std::pair<store_call_source, std::uint64_t>> pending_store_calls_;
     wall_time wall_{};
-    time_point last_count_{};
+    time_point counts_sent_at_{};
     std::map<std::string, std::uint64_t> sent_counts_;
     std::uint64_t sent_config_revision_ = 0;
     // Entry addresses last sent to the agents, and the last version of the members that was checked for
--- a/coordination/entry_jobs.cpp
+++ b/coordination/entry_jobs.cpp
@@ -15,7 +15,7 @@
 
 void entry_core::end_job(ledger_job& job, job_state state, time_point now) {
     if (!job.is_durable()) {
-        finish_unkept(job, state, now);
+        finish_non_durable(job, state, now);
         return;
     }
     job.phase = job_phase::ending;
@@ -26,7 +26,7 @@
     status.state = state;
     status.owner = session();
     status.ended_ms = unix_time_ms(wall_);
-    commits_.add({job.id, commit_end{job.keeper, status}}, now);
+    commits_.add({job.id, end_commit{job.record_session, status}}, now);
 }
 
 void entry_core::stop_runs_of(const ledger_job& job) {
@@ -53,13 +53,13 @@
 // Writes the progress of open jobs to the store, so that the ends of their runs can be acknowledged.
 void entry_core::write_progress(time_point now) {
     for (auto& [id, job] : ledger_.jobs()) {
-        if (job.phase != job_phase::open || job.unrecorded.empty() || job.is_progress_written ||
-            now - job.unrecorded.front().reported < limits_.progress_delay)
+        if (job.phase != job_phase::open || job.unacknowledged_ends.empty() || job.is_progress_in_flight ||
+            now - job.unacknowledged_ends.front().reported_at < limits_.progress_delay)
             continue;
-        job.is_progress_written = true;
+        job.is_progress_in_flight = true;
         job.record = job_ledger::record_with_progress(job);
-        job.progress_made = now;
-        commits_.add({id, commit_progress{job.keeper, job.record, job.revision}}, now);
+        job.progress_created_at = now;
+        commits_.add({id, progress_commit{job.record_session, job.record, job.revision}}, now);
     }
 }
 
@@ -67,42 +67,42 @@
     const std::int64_t calendar = unix_time_ms(wall_);
     for (auto& [id, job] : ledger_.jobs()) {
         if (job.phase == job_phase::open && job.record->plan.repeat_count > 0 &&
-            ledger_.begin_due(job, calendar))
+            ledger_.start_due_occurrences(job, calendar))
             is_plan_needed_ = true;
     }
 }
 
-void entry_core::committed(const commit_result& result, time_point now) {
-    if (std::holds_alternative<commit_accept>(result.what.change)) {
-        accept_committed(result, now);
+void entry_core::process_commit_result(const commit_result& result, time_point now) {
+    if (std::holds_alternative<acceptance_commit>(result.request.change)) {
+        process_acceptance_result(result, now);
         return;
     }
-    if (std::holds_alternative<commit_end>(result.what.change)) {
-        end_committed(result, now);
+    if (std::holds_alternative<end_commit>(result.request.change)) {
+        process_end_result(result, now);
         return;
     }
-    const auto* progress = std::get_if<commit_progress>(&result.what.change);
-    ledger_job* job = ledger_.find(result.what.job);
+    const auto* progress = std::get_if<progress_commit>(&result.request.change);
+    ledger_job* job = ledger_.find(result.request.job);
     if (progress == nullptr || job == nullptr)
         return;
-    job->is_progress_written = false;
+    job->is_progress_in_flight = false;
     if (result.outcome != commit_outcome::durable)
         return;
     job->revision = result.revision;
     // The record does not contain ends that were reported after its creation. The next record will.
-    std::vector<unacknowledged_end> later;
-    for (const unacknowledged_end& end : job->unrecorded) {
-        if (end.reported <= job->progress_made)
+    std::vector<unacknowledged_end> unrecorded_ends;
+    for (const unacknowledged_end& end : job->unacknowledged_ends) {
+        if (end.reported_at <= job->progress_created_at)
             acknowledge(end.agent, end.backend_life, end.number);
         else
-            later.push_back(end);
+            unrecorded_ends.push_back(end);
     }
-    job->unrecorded = std::move(later);
+    job->unacknowledged_ends = std::move(unrecorded_ends);
 }
 
-void entry_core::accept_committed(const commit_result& result, time_point now) {
-    const job_id& id = result.what.job;
-    const std::vector<waiting_caller> callers = accepting_.take(id);
+void entry_core::process_acceptance_result(const commit_result& result, time_point now) {
+    const job_id& id = result.request.job;
+    const std::vector<waiting_caller> callers = acceptance_waiters_.take(id);
     ledger_job* job = ledger_.find(id);
     if (job == nullptr)
         return;
@@ -117,24 +117,25 @@
         job->phase = job_phase::open;
         job->revision = result.revision;
         is_plan_needed_ = true;
-        note("accepted a job", id,
-             {{"queue", job->record->queue},
-              {"revision", static_cast<std::int64_t>(result.revision)},
-              {"waited_us", std::chrono::duration_cast<microseconds>(now - job->accepted).count()}});
+        record_decision(
+            "accepted a job", id,
+            {{"queue", job->record->queue},
+             {"revision", static_cast<std::int64_t>(result.revision)},
+             {"waited_us", std::chrono::duration_cast<microseconds>(now - job->accepted).count()}});
         for (const waiting_caller& caller : callers)
             reply(caller.token, caller_reply_kind::accepted, job->state);
         return;
     case commit_outcome::conflict:
-        note("job was accepted by another session before", id,
-             {{"owner", session_text(result.present.owner)},
-              {"state", std::string{to_string(result.present.state)}}});
+        record_decision("job was accepted by another session before", id,
+                        {{"owner", session_text(result.stored.owner)},
+                         {"state", std::string{to_string(result.stored.state)}}});
         ledger_.erase(id);
         for (const waiting_caller& caller : callers)
-            reply(caller.token, caller_reply_kind::accepted, result.present.state);
+            reply(caller.token, caller_reply_kind::accepted, result.stored.state);
         return;
     case commit_outcome::abandoned:
-        note("refused a job", id,
-             {{"queue", job->record->queue}, {"reason", std::string{"store_unavailable"}}}, true);
+        record_decision("refused a job", id,
+                        {{"queue", job->record->queue}, {"reason", std::string{"store_unavailable"}}}, true);
         ledger_.erase(id);
         for (const waiting_caller& caller : callers)
             output_.replies.push_back({caller.token, caller_reply_kind::refused, job_state::unknown,
@@ -143,46 +144,46 @@
     }
 }
 
-void entry_core::end_committed(const commit_result& result, time_point now) {
-    const job_id& id = result.what.job;
+void entry_core::process_end_result(const commit_result& result, time_point now) {
+    const job_id& id = result.request.job;
     ledger_job* job = ledger_.find(id);
     if (job == nullptr)
         return;
-    note_end(*job, now);
-    measure(entry_timing::record, now - job->ended);
+    log_job_end(*job, now);
+    record_timing(entry_timing::record, now - job->ended);
     acknowledge_all(*job);
-    ended_.add(id, {job->state, true}, now);
-    answer_waiting(id, job->state);
+    ended_jobs_.add(id, {job->state, true}, now);
+    answer_end_waiters(id, job->state);
     ledger_.erase(id);
 }
 
 void entry_core::forget_expired(time_point now) {
-    while (const auto old = ended_.take_older(now - limits_.retention)) {
-        if (old->second.is_durable)
-            commits_.add({old->first, commit_forget{}}, now);
+    while (const auto expired = ended_jobs_.take_ended_by(now - limits_.ended_job_retention)) {
+        if (expired->second.is_durable)
+            commits_.add({expired->first, removal_commit{}}, now);
     }
 }
 
-void entry_core::place(time_point now) {
+void entry_core::place_tasks(time_point now) {
     is_plan_needed_ = false;
     if (!config_)
         return;
-    const bool may_place_kept = is_ownership_certain(now);
+    const bool may_place_durable = is_ownership_certain(now);
     std::vector<ledger_job*> waiting;
     for (auto& [id, job] : ledger_.jobs()) {
-        if (job.is_durable() && !may_place_kept)
+        if (job.is_durable() && !may_place_durable)
             continue;
-        if (job.phase == job_phase::open && job_ledger::count_placeable(job) > 0)
+        if (job.phase == job_phase::open && job_ledger::count_placeable_tasks(job) > 0)
             waiting.push_back(&job);
     }
     if (waiting.empty())
         return;
-    const run_plan plan = planner_.plan(waiting, agents_, times_, *config_, now);
+    const run_plan plan = planner_.plan(waiting, agents_, run_time_model_, *config_, now);
     send_starts(plan.runs, now);
     for (const job_id& id : plan.cannot_finish)
-        refuse_waiting(*ledger_.find(id), "cannot end in time", now);
+        refuse_unplaced_job(*ledger_.find(id), "cannot end in time", now);
     for (const job_id& id : plan.late_without_capacity)
-        refuse_waiting(*ledger_.find(id), "would be late, room goes to others", now);
+        refuse_unplaced_job(*ledger_.find(id), "would be late, room goes to others", now);
 }
 
 void entry_core::send_starts(const std::vector<planned_run>& plan, time_point now) {
@@ -190,11 +191,11 @@
     for (const planned_run& planned : plan) {
         ledger_job& job = *ledger_.find(planned.task.job);
         ledger_task& task = *job_ledger::find_task(job, planned.task);
-        if (!job.first_placed) {
-            job.first_placed = now;
-            measure(entry_timing::queue, now - job.accepted);
+        if (!job.first_placed_at) {
+            job.first_placed_at = now;
+            record_timing(entry_timing::queue, now - job.accepted);
         }
-        task.run = std::max(task.run, job.run_base) + 1;
+        task.run = std::max(task.run, job.last_predecessor_run) + 1;
         job_ledger::set_phase(job, task, task_phase::placed);
         task.agent = planned.agent;
         task.placed = now;
@@ -226,10 +227,10 @@
         agent.unacknowledged_starts.emplace_back(++agent.starts_sent, needs);
         for (const run_spec& start : message.runs)
             agent.runs[{{job.id, start.occurrence, start.step, start.index}, start.run}] = agent.starts_sent;
-        note("placed tasks", job.id,
-             {{"agent", agent.name},
-              {"tasks", static_cast<std::int64_t>(message.runs.size())},
-              {"free_millicores", agent.free().cpu_millicores}});
+        record_decision("placed tasks", job.id,
+                        {{"agent", agent.name},
+                         {"tasks", static_cast<std::int64_t>(message.runs.size())},
+                         {"free_millicores", agent.free().cpu_millicores}});
         output_.messages.emplace_back(agent.link, std::move(message));
     }
 }
--- a/coordination/entry_limits.h
+++ b/coordination/entry_limits.h
@@ -8,22 +8,22 @@
 // Timeouts, intervals and other parameters of an entry.
 struct entry_limits {
     // Maximum lease of a run on a backend server; a setting of the platform.
-    milliseconds longest_run_lease{1000};
+    milliseconds max_run_lease{1000};
     // Time after the last lease renewal by which a run has certainly ended: the lease, 2% of it for clock
     // drift, and a margin for the delivery of the renewal.
     milliseconds run_lease_bound() const {
         constexpr milliseconds margin{150};
-        return longest_run_lease + longest_run_lease / 50 + margin;
+        return max_run_lease + max_run_lease / 50 + margin;
     }
     // Delay after which callers resubmit their jobs when a connection broke; a setting of the platform.
-    milliseconds caller_resend = default_caller_resend_delay;
+    milliseconds caller_resend_delay = default_caller_resend_delay;
     // Maximum time until a change by the operators is in force; a setting of the platform.
-    milliseconds config_bound{2000};
+    milliseconds max_config_delay{2000};
     // Factor by which the run time of a task grows on a rack other than that of its data; a setting of the
     // platform.
     double remote_data_factor = 1.5;
     // How long ended jobs are retained; a setting of the platform.
-    milliseconds retention{150000};
+    milliseconds ended_job_retention{150000};
     // An entry without contact to the store for this long no longer counts as the owner of its jobs. Longer
     // than the store outages that the platform announces, because no entry can adopt jobs during an outage.
     milliseconds store_contact_timeout{6000};
@@ -38,7 +38,7 @@
     milliseconds end_commit_wait{200};
     // An agent that refused a run gets no other run for this long. Within this time its state update arrives,
     // which shows why it refused.
-    milliseconds refusal_pause{20};
+    milliseconds refusal_backoff{20};
     // Durable jobs are refused once writes to the store have failed for this long.
     milliseconds store_failure_timeout{300};
 };
--- a/coordination/entry_sessions.cpp
+++ b/coordination/entry_sessions.cpp
@@ -22,7 +22,7 @@
     keeper_.set_connected(std::move(connected));
     if (known_session_ != session()) {
         if (!known_session_.name.empty())
-            session_lost(now);
+            process_session_loss(now);
         known_session_ = session();
         if (!known_session_.name.empty())
             commits_.set_session(session(), keeper_.entry_revision());
@@ -41,19 +41,19 @@
         output_.decisions.push_back(std::move(made));
 }
 
-void entry_core::session_lost(time_point) {
-    note("session was lost; its jobs belong to a successor", {},
-         {{"jobs", static_cast<std::int64_t>(ledger_.jobs().size())}}, true);
-    std::vector<job_id> kept;
+void entry_core::process_session_loss(time_point) {
+    record_decision("session was lost; its jobs belong to a successor", {},
+                    {{"jobs", static_cast<std::int64_t>(ledger_.jobs().size())}}, true);
+    std::vector<job_id> durable_jobs;
     for (const auto& [id, job] : ledger_.jobs()) {
         if (job.is_durable())
-            kept.push_back(id);
+            durable_jobs.push_back(id);
     }
     commits_.clear_session();
     successions_.clear();
     acknowledgements_.clear();
-    for (const job_id& id : kept) {
-        for (waiting_callers* waiting : {&accepting_, &ending_}) {
+    for (const job_id& id : durable_jobs) {
+        for (waiting_callers* waiting : {&acceptance_waiters_, &end_waiters_}) {
             for (const waiting_caller& caller : waiting->take(id))
                 reply(caller.token, caller_reply_kind::uncertain);
         }
@@ -94,7 +94,7 @@
             const milliseconds age{
                 std::clamp<std::int64_t>(unix_time_ms(wall_) - record->accepted_ms, 0, 600000)};
             job.accepted = now - age;
-            note("adopted a job", id, {{"former", former.name}, {"age_ms", age.count()}});
+            record_decision("adopted a job", id, {{"former", former.name}, {"age_ms", age.count()}});
         }
         for (const auto& [number, agent] : agents_.all()) {
             if (agent.link != 0)
@@ -103,7 +103,7 @@
     }
 }
 
-void entry_core::confirm(const std::string& agent, const incarnation& former) {
+void entry_core::record_succession_answer(const std::string& agent, const incarnation& former) {
     const auto found = successions_.find(former);
     if (found != successions_.end())
         found->second.unanswered.erase(agent);
@@ -111,7 +111,7 @@
 
 // A session that adopted these jobs and is now adopted itself may have started runs of them. Its adoption has
 // a smaller depth and must be settled before this one. All of them are adopted together.
-bool entry_core::may_settle(const succession& state, time_point now) const {
+bool entry_core::can_settle(const succession& state, time_point now) const {
     const bool is_waiting = std::any_of(successions_.begin(), successions_.end(), [&](const auto& other) {
         return !other.second.is_settled &&
                other.second.record.succession_count < state.record.succession_count;
@@ -123,22 +123,22 @@
 void entry_core::settle_successions(time_point now) {
     for (auto it = successions_.begin(); it != successions_.end();) {
         succession& state = it->second;
-        if (!state.is_settled && may_settle(state, now)) {
+        if (!state.is_settled && can_settle(state, now)) {
             state.is_settled = true;
             // Other successions may wait for this one.
             is_session_update_needed_ = true;
-            note("runs of a former session are settled", {},
-                 {{"former", session_text(it->first)},
-                  {"unanswered", static_cast<std::int64_t>(state.unanswered.size())}});
+            record_decision("runs of a former session are settled", {},
+                            {{"former", session_text(it->first)},
+                             {"unanswered", static_cast<std::int64_t>(state.unanswered.size())}});
             for (auto& [id, job] : ledger_.jobs()) {
-                if (job.keeper == it->first)
+                if (job.record_session == it->first)
                     job.is_settled = true;
             }
             is_plan_needed_ = true;
         }
         const bool has_jobs =
             std::any_of(ledger_.jobs().begin(), ledger_.jobs().end(),
-                        [&](const auto& entry) { return entry.second.keeper == it->first; });
+                        [&](const auto& entry) { return entry.second.record_session == it->first; });
         if (state.is_settled && !has_jobs) {
             keeper_.adoption_done(it->first, now);
             if (!members().adoptions().contains(it->first)) {
--- a/coordination/commit.h
+++ b/coordination/job_commit.h
@@ -14,32 +14,32 @@
 namespace persimmonstile {
 
 // Accepts a job: stores its status and its record. Conflicts if a status with its id is stored already.
-struct commit_accept {
+struct acceptance_commit {
     std::shared_ptr<const open_job> record;
 };
 
 // Replaces the record of an open job by a record that contains the progress of its tasks.
-struct commit_progress {
+struct progress_commit {
     // Session under which the record is stored.
-    incarnation keeper;
+    incarnation record_session;
     std::shared_ptr<const open_job> record;
     // Expected revision of the stored record.
     std::uint64_t revision = 0;
 };
 
 // Stores the final status of a job and removes its record.
-struct commit_end {
-    incarnation keeper;
+struct end_commit {
+    incarnation record_session;
     job_status status;
 };
 
 // Removes the stored status of an ended job.
-struct commit_forget {};
+struct removal_commit {};
 
 // One change to the stored records of a job.
-struct commit {
+struct job_commit {
     job_id job;
-    std::variant<commit_accept, commit_progress, commit_end, commit_forget> change;
+    std::variant<acceptance_commit, progress_commit, end_commit, removal_commit> change;
 };
 
 // The outcome of a commit.
@@ -49,12 +49,12 @@
 enum class commit_outcome : std::uint8_t { durable, conflict, abandoned };
 
 struct commit_result {
-    commit what;
+    job_commit request;
     commit_outcome outcome = commit_outcome::durable;
     // Revision of the stored record after an acceptance or an update of the progress became durable.
     std::uint64_t revision = 0;
     // Stored status of the job after a conflicting acceptance.
-    job_status present;
+    job_status stored;
 };
 
 } // namespace persimmonstile
--- a/coordination/job_ledger.cpp
+++ b/coordination/job_ledger.cpp
@@ -6,23 +6,24 @@
 namespace persimmonstile {
 
 ledger_job& job_ledger::add(const job_id& job, std::shared_ptr<const open_job> record,
-                            const incarnation& keeper, run_number run_base, time_point now) {
+                            const incarnation& record_session, run_number last_predecessor_run,
+                            time_point now) {
     ledger_job& added = jobs_[job];
     added.id = job;
     added.record = std::move(record);
-    added.keeper = keeper;
-    added.run_base = run_base;
+    added.record_session = record_session;
+    added.last_predecessor_run = last_predecessor_run;
     added.accepted = now;
     added.occurrences_left = added.record->plan.occurrence_count();
     if (added.record->plan.repeat_count == 0) {
-        begin_occurrence(added, 0);
+        start_occurrence(added, 0);
         added.next_occurrence = 1;
     }
     apply_progress(added);
     return added;
 }
 
-void job_ledger::begin_occurrence(ledger_job& job, std::uint32_t number) {
+void job_ledger::start_occurrence(ledger_job& job, std::uint32_t number) {
     ledger_occurrence& occurrence = job.occurrences[number];
     for (const job_step& step : job.record->plan.steps) {
         occurrence.steps.emplace_back(step.task_count);
@@ -74,8 +75,8 @@
     task.phase = phase;
 }
 
-report_effect job_ledger::take_report(ledger_job& job, const run_report& report, agent_number agent,
-                                      time_point now) {
+report_effect job_ledger::apply_report(ledger_job& job, const run_report& report, agent_number agent,
+                                       time_point now) {
     ledger_task* task = find_task(job, report.run.task);
     if (task == nullptr || task->phase == task_phase::done)
         return report_effect::nothing;
@@ -112,7 +113,7 @@
     case run_state::failed:
         set_phase(job, *task, task_phase::waiting);
         ++task->failures;
-        task->avoided.push_back(agent);
+        task->avoided_agents.push_back(agent);
         return report_effect::failed;
     case run_state::stopped:
     case run_state::lapsed:
@@ -120,29 +121,30 @@
     case run_state::alone:
     case run_state::refused:
         set_phase(job, *task, task_phase::waiting);
-        task->is_moving = false;
+        task->is_being_moved = false;
         if (report.state != run_state::refused || report.reason == run_refusal::unhealthy_backend)
-            task->avoided.push_back(agent);
+            task->avoided_agents.push_back(agent);
         return report_effect::waiting;
     }
     return report_effect::nothing;
 }
 
-bool job_ledger::is_ready(const ledger_job& job, const ledger_occurrence& occurrence, std::uint32_t step) {
+bool job_ledger::is_step_ready(const ledger_job& job, const ledger_occurrence& occurrence,
+                               std::uint32_t step) {
     const std::vector<std::uint32_t>& after = job.step(step).after;
     return std::all_of(after.begin(), after.end(), [&](std::uint32_t earlier) {
         return earlier < occurrence.remaining.size() && occurrence.remaining[earlier] == 0;
     });
 }
 
-void job_ledger::for_each_placeable(
+void job_ledger::for_each_placeable_task(
     ledger_job& job,
     const std::function<void(const task_ref& task, const job_step& step, ledger_task& state)>& visit) {
     if (job.phase != job_phase::open || !job.is_settled || job.waiting_tasks == 0)
         return;
     for (auto& [number, occurrence] : job.occurrences) {
         for (std::uint32_t step = 0; step < occurrence.steps.size(); ++step) {
-            if (occurrence.remaining[step] == 0 || !is_ready(job, occurrence, step))
+            if (occurrence.remaining[step] == 0 || !is_step_ready(job, occurrence, step))
                 continue;
             std::vector<ledger_task>& tasks = occurrence.steps[step];
             for (task_index index = 0; index < tasks.size(); ++index) {
@@ -153,22 +155,22 @@
     }
 }
 
-std::uint32_t job_ledger::count_placeable(ledger_job& job) {
+std::uint32_t job_ledger::count_placeable_tasks(ledger_job& job) {
     std::uint32_t count = 0;
-    for_each_placeable(job, [&](const task_ref&, const job_step&, ledger_task&) { ++count; });
+    for_each_placeable_task(job, [&](const task_ref&, const job_step&, ledger_task&) { ++count; });
     return count;
 }
 
-bool job_ledger::begin_due(ledger_job& job, std::int64_t unix_time_ms) {
+bool job_ledger::start_due_occurrences(ledger_job& job, std::int64_t unix_time_ms) {
     const job_plan& plan = job.record->plan;
-    bool has_begun = false;
+    bool has_started = false;
     while (job.next_occurrence < plan.repeat_count &&
            plan.first_start_ms + job.next_occurrence * plan.interval_ms <= unix_time_ms) {
-        begin_occurrence(job, job.next_occurrence);
+        start_occurrence(job, job.next_occurrence);
         ++job.next_occurrence;
-        has_begun = true;
+        has_started = true;
     }
-    return has_begun;
+    return has_started;
 }
 
 std::shared_ptr<const open_job> job_ledger::record_with_progress(const ledger_job& job) {
--- a/coordination/job_ledger.h
+++ b/coordination/job_ledger.h
@@ -25,8 +25,8 @@
 class job_ledger {
 public:
     // The job must be unknown.
-    ledger_job& add(const job_id& job, std::shared_ptr<const open_job> record, const incarnation& keeper,
-                    run_number run_base, time_point now);
+    ledger_job& add(const job_id& job, std::shared_ptr<const open_job> record,
+                    const incarnation& record_session, run_number last_predecessor_run, time_point now);
     ledger_job* find(const job_id& job);
     void erase(const job_id& job);
     void clear();
@@ -37,19 +37,19 @@
     // Changes the phase of a task and updates the job's count of waiting tasks.
     static void set_phase(ledger_job& job, ledger_task& task, task_phase phase);
     // Applies an agent's report on a run to its task.
-    static report_effect take_report(ledger_job& job, const run_report& report, agent_number agent,
-                                     time_point now);
+    static report_effect apply_report(ledger_job& job, const run_report& report, agent_number agent,
+                                      time_point now);
 
     // Whether all steps on which the step depends are done, so that its tasks may run.
-    static bool is_ready(const ledger_job& job, const ledger_occurrence& occurrence, std::uint32_t step);
+    static bool is_step_ready(const ledger_job& job, const ledger_occurrence& occurrence, std::uint32_t step);
     // Calls visit for each waiting task that may be placed now.
-    static void for_each_placeable(
+    static void for_each_placeable_task(
         ledger_job& job,
         const std::function<void(const task_ref& task, const job_step& step, ledger_task& state)>& visit);
-    static std::uint32_t count_placeable(ledger_job& job);
+    static std::uint32_t count_placeable_tasks(ledger_job& job);
 
     // Starts the occurrences that are due at this Unix time in milliseconds. Returns whether there was one.
-    static bool begin_due(ledger_job& job, std::int64_t unix_time_ms);
+    static bool start_due_occurrences(ledger_job& job, std::int64_t unix_time_ms);
 
     // Returns a copy of the job's record with the current progress.
     static std::shared_ptr<const open_job> record_with_progress(const ledger_job& job);
@@ -58,7 +58,7 @@
     const std::unordered_map<job_id, ledger_job>& jobs() const { return jobs_; }
 
 private:
-    static void begin_occurrence(ledger_job& job, std::uint32_t number);
+    static void start_occurrence(ledger_job& job, std::uint32_t number);
     static void apply_progress(ledger_job& job);
 
     std::unordered_map<job_id, ledger_job> jobs_;
--- a/coordination/job_course.cpp
+++ b/coordination/job_summary.cpp
@@ -1,4 +1,4 @@
-#include "coordination/job_course.h"
+#include "coordination/job_summary.h"
 
 #include "coordination/ledger_job.h"
 
@@ -27,20 +27,21 @@
             for (const ledger_task& task : step) {
                 ++tasks;
                 done += task.phase == task_phase::done ? 1 : 0;
-                runs += static_cast<std::int64_t>(std::max(task.run, job.run_base) - job.run_base);
+                runs += static_cast<std::int64_t>(std::max(task.run, job.last_predecessor_run) -
+                                                  job.last_predecessor_run);
                 failures += task.failures;
             }
         }
     }
-    std::vector<std::pair<std::string_view, decision::value>> course{
+    std::vector<std::pair<std::string_view, decision::value>> summary{
         {"queue", job.record->queue}, {"total_us", microseconds_between(job.accepted, now)}};
-    if (job.first_placed)
-        course.emplace_back("placed_us", microseconds_between(job.accepted, *job.first_placed));
-    course.emplace_back("tasks", tasks);
-    course.emplace_back("done", done);
-    course.emplace_back("runs", runs);
-    course.emplace_back("failures", failures);
-    return course;
+    if (job.first_placed_at)
+        summary.emplace_back("placed_us", microseconds_between(job.accepted, *job.first_placed_at));
+    summary.emplace_back("tasks", tasks);
+    summary.emplace_back("done", done);
+    summary.emplace_back("runs", runs);
+    summary.emplace_back("failures", failures);
+    return summary;
 }
 
 } // namespace persimmonstile
--- a/coordination/job_table.cpp
+++ b/coordination/job_table.cpp
@@ -40,7 +40,7 @@
     return "task " + std::to_string(index) + " on agent " + agent.name;
 }
 
-std::size_t bytes_of(const job_id& job, const job_record& record) {
+std::size_t bytes_of(const job_id& job, const owned_job& record) {
     std::size_t bytes = record_overhead_bytes + job.size();
     if (record.outcome && std::holds_alternative<job_complete>(*record.outcome)) {
         for (const std::string& answer : std::get<job_complete>(*record.outcome).answers)
@@ -49,22 +49,22 @@
     return bytes;
 }
 
-void answer_callers(const job_id& job, job_record& record, const job_reply& reply, job_actions& actions) {
+void answer_callers(const job_id& job, owned_job& record, const job_reply& reply, job_actions& actions) {
     for (const caller_token token : record.callers)
         actions.answers.push_back({token, job, reply});
     record.callers.clear();
 }
 
-std::map<incarnation, std::vector<task_index>> dispatched_by_agent(const job_record& record) {
+std::map<incarnation, std::vector<task_index>> dispatched_by_agent(const owned_job& record) {
     std::map<incarnation, std::vector<task_index>> result;
     for (std::size_t i = 0; i < record.tasks.size(); ++i) {
-        if (record.tasks[i].phase == task_phase::dispatched)
+        if (record.tasks[i].phase == owned_task_phase::dispatched)
             result[record.tasks[i].agent].push_back(static_cast<task_index>(i));
     }
     return result;
 }
 
-revoke make_revoke(const job_id& job, const job_record& record, epoch_number epoch,
+revoke make_revoke(const job_id& job, const owned_job& record, epoch_number epoch,
                    const std::vector<task_index>& tasks) {
     revoke message;
     message.partition = record.partition;
@@ -75,16 +75,16 @@
     return message;
 }
 
-std::vector<task_index> waiting_tasks(const job_record& record) {
+std::vector<task_index> waiting_tasks(const owned_job& record) {
     std::vector<task_index> result;
     for (std::size_t i = 0; i < record.tasks.size(); ++i) {
-        if (record.tasks[i].phase == task_phase::waiting)
+        if (record.tasks[i].phase == owned_task_phase::waiting)
             result.push_back(static_cast<task_index>(i));
     }
     return result;
 }
 
-job_complete collect_answers(job_record& record) {
+job_complete collect_answers(owned_job& record) {
     job_complete complete;
     complete.answers.reserve(record.tasks.size());
     for (owned_task& task : record.tasks)
@@ -123,7 +123,7 @@
     handover.jobs.assign(owned->second.inherited.begin(), owned->second.inherited.end());
     partitions_.erase(owned);
     for (auto it = jobs_.begin(); it != jobs_.end();) {
-        job_record& record = it->second;
+        owned_job& record = it->second;
         if (record.partition != partition) {
             ++it;
             continue;
@@ -140,7 +140,7 @@
         }
         actions.withdrawn.push_back(it->first);
         actions.dropped.push_back(it->first);
-        if (record.phase == job_phase::ended)
+        if (record.phase == owned_job_phase::ended)
             retained_bytes_ -= record.retained_bytes;
         else
             --active_jobs_;
@@ -150,7 +150,7 @@
     return actions;
 }
 
-job_actions job_table::apply(const submission& request, time_point now, wall_time wall_now) {
+job_actions job_table::apply(const validated_submission& request, time_point now, wall_time wall_now) {
     job_actions actions;
     const partition_id partition = partition_of(request.job);
     if (!partitions_.contains(partition)) {
@@ -159,10 +159,10 @@
     }
     const auto known = jobs_.find(request.job);
     if (known != jobs_.end()) {
-        job_record& record = known->second;
+        owned_job& record = known->second;
         if (record.spec->digest != request.spec->digest)
             actions.answers.push_back({request.token, request.job, job_conflict{}});
-        else if (record.phase == job_phase::ended)
+        else if (record.phase == owned_job_phase::ended)
             actions.answers.push_back({request.token, request.job, *record.outcome});
         else
             record.callers.push_back(request.token);
@@ -183,7 +183,7 @@
         actions.answers.push_back({request.token, request.job, job_outcome{failed}});
         return actions;
     }
-    job_record& record = jobs_[request.job];
+    owned_job& record = jobs_[request.job];
     record.partition = partition;
     ++active_jobs_;
     actions.accepted = true;
@@ -191,7 +191,7 @@
     return actions;
 }
 
-void job_table::start_job(const submission& request, job_record& record, time_point now,
+void job_table::start_job(const validated_submission& request, owned_job& record, time_point now,
                           job_actions& actions) {
     record.spec = request.spec;
     record.traceparent = request.traceparent;
@@ -209,7 +209,7 @@
             {request.job, record.spec, all_tasks(record.tasks.size()), record.deadline, true});
         return;
     }
-    record.phase = job_phase::querying;
+    record.phase = owned_job_phase::querying;
     for (const incarnation& agent : partition.suspects) {
         if (has_parted_without(agent, request.job))
             continue;
@@ -220,10 +220,10 @@
                     now, actions);
             return;
         }
-        record.unanswered.insert(agent);
+        record.unanswered_agents.insert(agent);
         actions.sends.push_back({agent, query_job{record.partition, partition.epoch, request.job}});
     }
-    if (record.unanswered.empty())
+    if (record.unanswered_agents.empty())
         finish_query(request.job, record, now, actions);
 }
 
@@ -236,13 +236,13 @@
     job_actions actions;
     parted_agents_[parting.agent] = {now, {parting.jobs.begin(), parting.jobs.end()}};
     for (auto& [job, record] : jobs_) {
-        const bool answered = record.phase == job_phase::querying &&
-                              record.unanswered.contains(parting.agent) &&
+        const bool answered = record.phase == owned_job_phase::querying &&
+                              record.unanswered_agents.contains(parting.agent) &&
                               has_parted_without(parting.agent, job);
         if (!answered)
             continue;
-        record.unanswered.erase(parting.agent);
-        if (record.unanswered.empty())
+        record.unanswered_agents.erase(parting.agent);
+        if (record.unanswered_agents.empty())
             finish_query(job, record, now, actions);
     }
     return actions;
@@ -284,7 +284,7 @@
     const auto found = jobs_.find(job);
     if (found == jobs_.end())
         actions.answers.push_back({token, job, job_not_found{}});
-    else if (found->second.phase == job_phase::ended)
+    else if (found->second.phase == owned_job_phase::ended)
         actions.answers.push_back({token, job, *found->second.outcome});
     else
         actions.answers.push_back({token, job, job_pending{}});
@@ -293,7 +293,7 @@
 
 job_actions job_table::cancel(const job_id& job, caller_token token, time_point now) {
     const auto found = jobs_.find(job);
-    const bool active = found != jobs_.end() && found->second.phase != job_phase::ended;
+    const bool active = found != jobs_.end() && found->second.phase != owned_job_phase::ended;
     if (!active || !partitions_.contains(found->second.partition))
         return lookup(job, token);
     job_actions actions;
@@ -302,7 +302,7 @@
     return actions;
 }
 
-job_actions job_table::apply(const caller_left& left, time_point, wall_time) {
+job_actions job_table::apply(const caller_departure& left, time_point, wall_time) {
     const auto found = jobs_.find(left.job);
     if (found != jobs_.end())
         std::erase(found->second.callers, left.token);
@@ -327,18 +327,18 @@
 
 void job_table::admitted(const job_id& job, job_actions& actions) {
     const auto found = jobs_.find(job);
-    if (found != jobs_.end() && found->second.phase == job_phase::admitting)
-        found->second.phase = job_phase::running;
+    if (found != jobs_.end() && found->second.phase == owned_job_phase::admitting)
+        found->second.phase = owned_job_phase::running;
     // The job may have ended, or its partition may have been lost, while the scheduler decided. Its tasks
     // must not stay queued.
-    if (found == jobs_.end() || found->second.phase == job_phase::ended)
+    if (found == jobs_.end() || found->second.phase == owned_job_phase::ended)
         actions.withdrawn.push_back(job);
 }
 
 job_actions job_table::drop_admitting(const job_id& job, const job_reply& reply) {
     job_actions actions;
     const auto found = jobs_.find(job);
-    if (found == jobs_.end() || found->second.phase != job_phase::admitting)
+    if (found == jobs_.end() || found->second.phase != owned_job_phase::admitting)
         return actions;
     answer_callers(job, found->second, reply, actions);
     actions.dropped.push_back(job);
@@ -351,14 +351,14 @@
     job_actions actions;
     const auto found = jobs_.find(chosen.job);
     // The scheduler may assign tasks of a new job before its admission has been reported here.
-    if (found != jobs_.end() && found->second.phase == job_phase::admitting)
-        found->second.phase = job_phase::running;
-    const bool assignable = found != jobs_.end() && found->second.phase == job_phase::running &&
+    if (found != jobs_.end() && found->second.phase == owned_job_phase::admitting)
+        found->second.phase = owned_job_phase::running;
+    const bool assignable = found != jobs_.end() && found->second.phase == owned_job_phase::running &&
                             !gone_agents_.contains(chosen.agent);
     std::vector<task_index> sent;
     for (const task_index index : chosen.tasks) {
         if (assignable && index < found->second.tasks.size() &&
-            found->second.tasks[index].phase == task_phase::waiting) {
+            found->second.tasks[index].phase == owned_task_phase::waiting) {
             sent.push_back(index);
             continue;
         }
@@ -368,15 +368,15 @@
         report.reason = refusal::revoked;
         actions.returned.push_back({chosen.agent, chosen.job, report});
     }
-    if (found != jobs_.end() && found->second.phase == job_phase::running && !assignable)
+    if (found != jobs_.end() && found->second.phase == owned_job_phase::running && !assignable)
         actions.queue.push_back(
             {chosen.job, found->second.spec, chosen.tasks, found->second.deadline, false});
     if (sent.empty())
         return actions;
-    job_record& record = found->second;
+    owned_job& record = found->second;
     for (const task_index index : sent) {
         owned_task& task = record.tasks[index];
-        task.phase = task_phase::dispatched;
+        task.phase = owned_task_phase::dispatched;
         task.agent = chosen.agent;
         ++task.attempt;
     }
@@ -386,7 +386,7 @@
     return actions;
 }
 
-void job_table::send_dispatch(const job_id& job, const job_record& record, const incarnation& agent,
+void job_table::send_dispatch(const job_id& job, const owned_job& record, const incarnation& agent,
                               const std::vector<task_index>& tasks, config_revision revision, time_point now,
                               job_actions& actions) const {
     dispatch message;
@@ -421,12 +421,12 @@
     return actions;
 }
 
-void job_table::apply_report(const job_id& job, job_record& record, const task_reports& reports,
+void job_table::apply_report(const job_id& job, owned_job& record, const task_reports& reports,
                              const task_report& report, time_point now, job_actions& actions) {
     const bool known = report.index < record.tasks.size();
     owned_task* task = known ? &record.tasks[report.index] : nullptr;
-    const bool expected = known && task->phase == task_phase::dispatched && task->agent == reports.agent &&
-                          task->attempt == report.attempt;
+    const bool expected = known && task->phase == owned_task_phase::dispatched &&
+                          task->agent == reports.agent && task->attempt == report.attempt;
     if (!expected) {
         ++actions.stray_reports;
         return;
@@ -437,8 +437,8 @@
         return;
     release(record, job, reports.agent);
     actions.returned.push_back({reports.agent, job, report});
-    task->phase = task_phase::done;
-    if (record.phase == job_phase::ended)
+    task->phase = owned_task_phase::done;
+    if (record.phase == owned_job_phase::ended)
         return;
     switch (report.status) {
     case task_status::succeeded:
@@ -454,7 +454,7 @@
                 now, actions);
         break;
     case task_status::not_started:
-        task->phase = task_phase::waiting;
+        task->phase = owned_task_phase::waiting;
         actions.queue.push_back({job, record.spec, {report.index}, record.deadline, false});
         break;
     case task_status::unknown:
@@ -464,15 +464,15 @@
     }
 }
 
-void job_table::task_unknown(const job_id& job, job_record& record, owned_task& task, task_index index,
+void job_table::task_unknown(const job_id& job, owned_job& record, owned_task& task, task_index index,
                              time_point now, job_actions& actions) {
     if (record.idempotent && record.retries < max_retries_per_request) {
         ++record.retries;
-        task.phase = task_phase::waiting;
+        task.phase = owned_task_phase::waiting;
         actions.queue.push_back({job, record.spec, {index}, record.deadline, false});
         return;
     }
-    task.phase = task_phase::done;
+    task.phase = owned_task_phase::done;
     end_job(job, record,
             failure(failure_reason::outcome_unknown,
                     "the result of " + task_place(index, task.agent) + " was lost"),
@@ -483,22 +483,22 @@
     job_actions actions;
     const auto found = jobs_.find(report.job);
     const auto partition = partitions_.find(report.partition);
-    const bool expected = found != jobs_.end() && found->second.phase == job_phase::querying &&
+    const bool expected = found != jobs_.end() && found->second.phase == owned_job_phase::querying &&
                           partition != partitions_.end() && partition->second.epoch == report.epoch &&
-                          found->second.unanswered.contains(report.agent);
+                          found->second.unanswered_agents.contains(report.agent);
     if (!expected) {
         ++actions.stray_reports;
         return actions;
     }
-    job_record& record = found->second;
-    record.unanswered.erase(report.agent);
+    owned_job& record = found->second;
+    record.unanswered_agents.erase(report.agent);
     for (const task_report& task : report.reports) {
-        if (record.phase == job_phase::querying)
+        if (record.phase == owned_job_phase::querying)
             apply_queried_task(report.job, record, report.agent, task, now, actions);
     }
-    if (record.phase == job_phase::querying)
+    if (record.phase == owned_job_phase::querying)
         confirm_adopted(report, record, now, actions);
-    if (record.phase == job_phase::querying && record.unanswered.empty())
+    if (record.phase == owned_job_phase::querying && record.unanswered_agents.empty())
         finish_query(report.job, record, now, actions);
     return actions;
 }
@@ -506,7 +506,7 @@
 // Sends the dispatch again for tasks that the agent lists as running. The answer may have arrived late over a
 // connection that has been replaced, so such a task may have ended and its report may be lost. A second
 // dispatch makes the agent repeat the report of an ended task.
-void job_table::confirm_adopted(const job_report& report, const job_record& record, time_point now,
+void job_table::confirm_adopted(const job_report& report, const owned_job& record, time_point now,
                                 job_actions& actions) const {
     std::vector<task_index> adopted;
     for (const task_report& task : report.reports) {
@@ -517,20 +517,20 @@
         send_dispatch(report.job, record, report.agent, adopted, 0, now, actions);
 }
 
-void job_table::apply_queried_task(const job_id& job, job_record& record, const incarnation& agent,
+void job_table::apply_queried_task(const job_id& job, owned_job& record, const incarnation& agent,
                                    const task_report& report, time_point now, job_actions& actions) {
     if (report.index >= record.tasks.size())
         return;
     owned_task& task = record.tasks[report.index];
-    record.found_by_query = true;
+    record.was_found_by_query = true;
     switch (report.status) {
     case task_status::succeeded:
-        task.phase = task_phase::done;
+        task.phase = owned_task_phase::done;
         task.answer = report.text;
         ++record.done_count;
         break;
     case task_status::running:
-        task.phase = task_phase::dispatched;
+        task.phase = owned_task_phase::dispatched;
         task.agent = agent;
         task.attempt = report.attempt;
         ++record.outstanding[agent];
@@ -553,15 +553,15 @@
     }
 }
 
-void job_table::finish_query(const job_id& job, job_record& record, time_point now, job_actions& actions) {
+void job_table::finish_query(const job_id& job, owned_job& record, time_point now, job_actions& actions) {
     if (record.done_count == record.tasks.size()) {
         end_job(job, record, collect_answers(record), now, actions);
         return;
     }
     const std::vector<task_index> waiting = waiting_tasks(record);
     // If no agent knows the job, it is treated like a new one and may still be refused as not_run.
-    const bool untouched = !record.found_by_query;
-    record.phase = untouched ? job_phase::admitting : job_phase::running;
+    const bool untouched = !record.was_found_by_query;
+    record.phase = untouched ? owned_job_phase::admitting : owned_job_phase::running;
     if (!waiting.empty())
         actions.queue.push_back({job, record.spec, waiting, record.deadline, untouched});
 }
@@ -576,13 +576,13 @@
     const auto outstanding = jobs_by_agent_.find(agent);
     if (outstanding != jobs_by_agent_.end()) {
         for (const job_id& job : outstanding->second) {
-            const job_record& record = jobs_.at(job);
+            const owned_job& record = jobs_.at(job);
             std::vector<task_index> tasks;
             for (std::size_t i = 0; i < record.tasks.size(); ++i) {
-                if (record.tasks[i].phase == task_phase::dispatched && record.tasks[i].agent == agent)
+                if (record.tasks[i].phase == owned_task_phase::dispatched && record.tasks[i].agent == agent)
                     tasks.push_back(static_cast<task_index>(i));
             }
-            if (record.phase == job_phase::ended)
+            if (record.phase == owned_job_phase::ended)
                 actions.sends.push_back(
                     {agent, make_revoke(job, record, partitions_.at(record.partition).epoch, tasks)});
             else
@@ -590,7 +590,7 @@
         }
     }
     for (const auto& [job, record] : jobs_) {
-        if (record.phase == job_phase::querying && record.unanswered.contains(agent))
+        if (record.phase == owned_job_phase::querying && record.unanswered_agents.contains(agent))
             actions.sends.push_back(
                 {agent, query_job{record.partition, partitions_.at(record.partition).epoch, job}});
     }
@@ -604,18 +604,18 @@
     const std::set<job_id> jobs =
         outstanding == jobs_by_agent_.end() ? std::set<job_id>{} : outstanding->second;
     for (const job_id& job : jobs) {
-        job_record& record = jobs_.at(job);
+        owned_job& record = jobs_.at(job);
         for (std::size_t i = 0; i < record.tasks.size(); ++i) {
             owned_task& task = record.tasks[i];
-            if (task.phase != task_phase::dispatched || task.agent != agent)
+            if (task.phase != owned_task_phase::dispatched || task.agent != agent)
                 continue;
             const auto index = static_cast<task_index>(i);
             release(record, job, agent);
-            task.phase = task_phase::done;
-            if (record.phase == job_phase::ended)
+            task.phase = owned_task_phase::done;
+            if (record.phase == owned_job_phase::ended)
                 continue;
             if (has_parted_without(agent, job)) {
-                task.phase = task_phase::waiting;
+                task.phase = owned_task_phase::waiting;
                 actions.queue.push_back({job, record.spec, {index}, record.deadline, false});
                 continue;
             }
@@ -623,7 +623,7 @@
         }
     }
     for (auto& [job, record] : jobs_) {
-        if (record.phase == job_phase::querying && record.unanswered.contains(agent))
+        if (record.phase == owned_job_phase::querying && record.unanswered_agents.contains(agent))
             end_job(job, record,
                     failure(failure_reason::outcome_unknown,
                             "agent " + agent.name + " that may have run tasks of this job is gone"),
@@ -632,7 +632,7 @@
     return actions;
 }
 
-void job_table::end_job(const job_id& job, job_record& record, job_outcome outcome, time_point now,
+void job_table::end_job(const job_id& job, owned_job& record, job_outcome outcome, time_point now,
                         job_actions& actions) {
     for (const auto& [agent, tasks] : dispatched_by_agent(record))
         actions.sends.push_back(
@@ -646,9 +646,9 @@
     ended.tasks = record.tasks.size();
     actions.ended.push_back(ended);
     actions.withdrawn.push_back(job);
-    record.phase = job_phase::ended;
+    record.phase = owned_job_phase::ended;
     record.ended = now;
-    record.unanswered.clear();
+    record.unanswered_agents.clear();
     record.outcome = std::move(outcome);
     record.retained_bytes = bytes_of(job, record);
     retained_bytes_ += record.retained_bytes;
@@ -662,7 +662,7 @@
     answer_callers(job, record, *record.outcome, actions);
 }
 
-void job_table::release(job_record& record, const job_id& job, const incarnation& agent) {
+void job_table::release(owned_job& record, const job_id& job, const incarnation& agent) {
     const auto found = record.outstanding.find(agent);
     if (found == record.outstanding.end() || --found->second > 0)
         return;
@@ -687,7 +687,8 @@
         const job_id job = deadlines_.begin()->second;
         deadlines_.erase(deadlines_.begin());
         const auto found = jobs_.find(job);
-        if (found == jobs_.end() || found->second.phase == job_phase::ended || found->second.deadline > now)
+        if (found == jobs_.end() || found->second.phase == owned_job_phase::ended ||
+            found->second.deadline > now)
             continue;
         end_job(job, found->second,
                 failure(failure_reason::deadline_exceeded, "the job did not end within its deadline"), now,
@@ -702,11 +703,11 @@
         const auto [ended, job] = ended_order_.front();
         ended_order_.pop_front();
         const auto found = jobs_.find(job);
-        const bool same =
-            found != jobs_.end() && found->second.phase == job_phase::ended && found->second.ended == ended;
+        const bool same = found != jobs_.end() && found->second.phase == owned_job_phase::ended &&
+                          found->second.ended == ended;
         if (!same)
             continue;
-        job_record& record = found->second;
+        owned_job& record = found->second;
         for (const auto& [agent, count] : std::map{record.outstanding}) {
             for (std::uint32_t i = 0; i < count; ++i)
                 release(record, job, agent);
--- a/coordination/job_table.h
+++ b/coordination/job_table.h
@@ -2,7 +2,7 @@
 
 #include "coordination/job_actions.h"
 #include "coordination/job_event.h"
-#include "coordination/job_record.h"
+#include "coordination/owned_job.h"
 #include "state/time.h"
 
 #include <cstddef>
@@ -29,9 +29,9 @@
 
     // One overload for each alternative of job_event. Some need wall_now to compare it with the creation time
     // inside a job id.
-    job_actions apply(const submission& request, time_point now, wall_time wall_now);
+    job_actions apply(const validated_submission& request, time_point now, wall_time wall_now);
     job_actions apply(const forward_lookup& request, time_point now, wall_time wall_now);
-    job_actions apply(const caller_left& left, time_point now, wall_time wall_now);
+    job_actions apply(const caller_departure& left, time_point now, wall_time wall_now);
     job_actions apply(const admission_decision& decision, time_point now, wall_time wall_now);
     job_actions apply(const assignment& chosen, time_point now, wall_time wall_now);
     job_actions apply(const task_reports& reports, time_point now, wall_time wall_now);
@@ -72,9 +72,10 @@
         time_point when;
         std::unordered_set<std::uint64_t> jobs;
     };
-    using job_map = std::unordered_map<job_id, job_record>;
+    using job_map = std::unordered_map<job_id, owned_job>;
 
-    void start_job(const submission& request, job_record& record, time_point now, job_actions& actions);
+    void start_job(const validated_submission& request, owned_job& record, time_point now,
+                   job_actions& actions);
     job_actions lookup(const job_id& job, caller_token token) const;
     job_actions cancel(const job_id& job, caller_token token, time_point now);
     void admitted(const job_id& job, job_actions& actions);
@@ -83,19 +84,19 @@
     bool has_parted_without(const incarnation& agent, const job_id& job) const;
     bool needs_query(const job_id& job, const owned_partition& partition) const;
     job_actions drop_admitting(const job_id& job, const job_reply& reply);
-    void finish_query(const job_id& job, job_record& record, time_point now, job_actions& actions);
-    void confirm_adopted(const job_report& report, const job_record& record, time_point now,
+    void finish_query(const job_id& job, owned_job& record, time_point now, job_actions& actions);
+    void confirm_adopted(const job_report& report, const owned_job& record, time_point now,
                          job_actions& actions) const;
-    void apply_queried_task(const job_id& job, job_record& record, const incarnation& agent,
+    void apply_queried_task(const job_id& job, owned_job& record, const incarnation& agent,
                             const task_report& report, time_point now, job_actions& actions);
-    void apply_report(const job_id& job, job_record& record, const task_reports& reports,
+    void apply_report(const job_id& job, owned_job& record, const task_reports& reports,
                       const task_report& report, time_point now, job_actions& actions);
-    void task_unknown(const job_id& job, job_record& record, owned_task& task, task_index index,
+    void task_unknown(const job_id& job, owned_job& record, owned_task& task, task_index index,
                       time_point now, job_actions& actions);
-    void end_job(const job_id& job, job_record& record, job_outcome outcome, time_point now,
+    void end_job(const job_id& job, owned_job& record, job_outcome outcome, time_point now,
                  job_actions& actions);
-    void release(job_record& record, const job_id& job, const incarnation& agent);
-    void send_dispatch(const job_id& job, const job_record& record, const incarnation& agent,
+    void release(owned_job& record, const job_id& job, const incarnation& agent);
+    void send_dispatch(const job_id& job, const owned_job& record, const incarnation& agent,
                        const std::vector<task_index>& tasks, config_revision revision, time_point now,
                        job_actions& actions) const;
     void expire_ended(time_point now);
--- a/coordination/late_job_patience.cpp
+++ b/coordination/late_job_policy.cpp
@@ -1,4 +1,4 @@
-#include "coordination/late_job_patience.h"
+#include "coordination/late_job_policy.h"
 
 namespace persimmonstile {
 
@@ -18,17 +18,18 @@
 
 } // namespace
 
-void late_job_patience::passed_over(std::size_t other_starts, time_point now) {
-    if (!starved_since_ || now - last_passed_over_ > reset_interval) {
-        starved_since_ = now;
+void late_job_policy::record_passed_over(std::size_t other_starts, time_point now) {
+    if (!passed_over_since_ || now - last_passed_over_ > reset_interval) {
+        passed_over_since_ = now;
         other_starts_ = 0;
     }
     last_passed_over_ = now;
     other_starts_ += other_starts;
 }
 
-bool late_job_patience::is_over(time_point now) const {
-    return starved_since_ && now - *starved_since_ >= refusal_delay && other_starts_ >= min_other_starts;
+bool late_job_policy::should_refuse(time_point now) const {
+    return passed_over_since_ && now - *passed_over_since_ >= refusal_delay &&
+           other_starts_ >= min_other_starts;
 }
 
 } // namespace persimmonstile
--- a/coordination/ledger_job.h
+++ b/coordination/ledger_job.h
@@ -26,7 +26,7 @@
     agent_number agent = 0;
     std::uint64_t backend_life = 0;
     std::uint64_t number = 0;
-    time_point reported{};
+    time_point reported_at{};
 };
 
 // The tasks of one occurrence of a job, by step.
@@ -43,10 +43,10 @@
     // Time by which a non-durable job must end, because its last caller then gets a reply.
     time_point answer_by = time_point::max();
     // Session under which the record is stored.
-    incarnation keeper;
+    incarnation record_session;
     std::uint64_t revision = 0;
     // The runs of this owner have greater numbers. Runs up to this number belong to earlier owners.
-    run_number run_base = 0;
+    run_number last_predecessor_run = 0;
     job_phase phase = job_phase::accepting;
     // Each run that a deposed owner may have started is known or has certainly ended. No task may be placed
     // before that.
@@ -54,9 +54,9 @@
     // Final once the end has been decided.
     job_state state = job_state::queued;
     // When a task was first sent to an agent. The job may have started running at any time since.
-    std::optional<time_point> first_placed;
+    std::optional<time_point> first_placed_at;
     // A run of a task has started.
-    bool has_begun = false;
+    bool has_started = false;
     std::map<std::uint32_t, ledger_occurrence> occurrences;
     // Number of tasks in phase waiting, including those whose step is not ready.
     std::uint32_t waiting_tasks = 0;
@@ -64,10 +64,10 @@
     std::uint32_t next_occurrence = 0;
     // Occurrences that have not ended, including those that have not begun.
     std::uint32_t occurrences_left = 0;
-    std::vector<unacknowledged_end> unrecorded;
-    // A record with progress is being written. progress_made is the time at which it was created.
-    bool is_progress_written = false;
-    time_point progress_made{};
+    std::vector<unacknowledged_end> unacknowledged_ends;
+    // A record with progress is being written. progress_created_at is the time at which it was created.
+    bool is_progress_in_flight = false;
+    time_point progress_created_at{};
     // When the job arrived at this entry. For an adopted job, when it was first accepted.
     time_point accepted{};
     time_point ended{};
--- a/coordination/ledger_task.h
+++ b/coordination/ledger_task.h
@@ -31,9 +31,9 @@
     time_point started{};
     std::string checkpoint;
     // Agents where a run of the task did not succeed. Other agents are preferred.
-    std::vector<agent_number> avoided;
+    std::vector<agent_number> avoided_agents;
     // The run is being stopped so that the task can run elsewhere.
-    bool is_moving = false;
+    bool is_being_moved = false;
 };
 
 } // namespace persimmonstile
--- a/coordination/overload_detector.h
+++ b/coordination/overload_detector.h
@@ -5,7 +5,7 @@
 namespace persimmonstile {
 
 // Thresholds for detecting that a process has more work than its processor can handle.
-struct overload_limits {
+struct overload_thresholds {
     // A timer that is late by this much counts as late: events are queuing up. Far above the time of a single
     // event, and a fraction of the callers' shortest latency objective.
     milliseconds late{40};
@@ -27,8 +27,8 @@
 // state does not oscillate.
 class overload_detector {
 public:
-    explicit overload_detector(const overload_limits& limits = {})
-        : limits_{limits} {}
+    explicit overload_detector(const overload_thresholds& thresholds = {})
+        : thresholds_{thresholds} {}
 
     // Reports that a timer that was due at `due` has fired.
     void timer_fired(time_point due, time_point now);
@@ -37,15 +37,15 @@
 
 private:
     // Begins an overload or, if there is one, restarts its recovery time.
-    void begin(time_point now);
+    void mark_overloaded(time_point now);
 
-    overload_limits limits_;
+    overload_thresholds thresholds_;
     bool is_overloaded_ = false;
     // Start of the current series of late timers; time_point::max() if the last timer was on time.
     time_point late_since_ = time_point::max();
     time_point recovering_until_{};
-    milliseconds recovery_{0};
-    time_point ended_{};
+    milliseconds recovery_time_{0};
+    time_point overload_ended_at_{};
 };
 
 } // namespace persimmonstile
--- a/coordination/job_record.h
+++ b/coordination/owned_job.h
@@ -17,11 +17,11 @@
 namespace persimmonstile {
 
 // The state of a task as the owner of its job knows it.
-enum class task_phase : std::uint8_t { waiting, dispatched, done };
+enum class owned_task_phase : std::uint8_t { waiting, dispatched, done };
 
 // One task of a job at its owner. agent and attempt are those of the latest dispatch.
 struct owned_task {
-    task_phase phase = task_phase::waiting;
+    owned_task_phase phase = owned_task_phase::waiting;
     std::uint32_t attempt = 0;
     incarnation agent;
     std::string answer;
@@ -32,14 +32,14 @@
 //   querying   after a takeover, agents are asked for the state of the job
 //   running    tasks are waiting or running
 //   ended      the outcome is final
-enum class job_phase : std::uint8_t { admitting, querying, running, ended };
+enum class owned_job_phase : std::uint8_t { admitting, querying, running, ended };
 
 // The state of a job at its owner. It is retained after the job's end for the deduplication window.
-struct job_record {
+struct owned_job {
     std::shared_ptr<const job_spec> spec;
     std::string traceparent;
     partition_id partition = 0;
-    job_phase phase = job_phase::admitting;
+    owned_job_phase phase = owned_job_phase::admitting;
     bool idempotent = false;
     std::uint32_t retries = 0;
     time_point accepted;
@@ -50,9 +50,9 @@
     // Number of dispatched tasks that have not ended, by agent.
     std::map<incarnation, std::uint32_t> outstanding;
     // Agents that have not answered query_job yet.
-    std::set<incarnation> unanswered;
+    std::set<incarnation> unanswered_agents;
     // An agent has answered that it accepted a task of the job.
-    bool found_by_query = false;
+    bool was_found_by_query = false;
     std::vector<caller_token> callers;
     std::optional<job_outcome> outcome;
     std::size_t retained_bytes = 0;
--- a/coordination/run_planner.cpp
+++ b/coordination/run_planner.cpp
@@ -82,7 +82,7 @@
         const timeliness value = timeliness_of(target, now);
         // A late job that has started takes precedence over late jobs that have not. Otherwise the work done
         // for it would be lost.
-        const bool is_first = value == timeliness::in_time || (value == timeliness::late && job->has_begun);
+        const bool is_first = value == timeliness::in_time || (value == timeliness::late && job->has_started);
         order.push_back(
             {job, is_first ? timeliness::in_time : value, is_first ? target.in_time : target.useful});
     }
@@ -101,7 +101,7 @@
             found->second = usable_agents(agents, service, config, now);
         const std::vector<agent_view*>& candidates = found->second;
         const std::size_t planned_before = result.runs.size();
-        job_ledger::for_each_placeable(
+        job_ledger::for_each_placeable_task(
             *next.job, [&](const task_ref& task, const job_step& step, ledger_task& state) {
                 const double seconds = times.expected_seconds(next.job->record->queue, step.estimate());
                 if (agent_view* agent = choose(*next.job, task, state, seconds, candidates, result.runs)) {
@@ -128,13 +128,13 @@
 }
 
 // Refuses the late jobs of a service if all capacity keeps going to other jobs.
-void run_planner::refuse_late(const late_jobs& jobs, late_job_patience& patience, run_plan& result,
+void run_planner::refuse_late(const late_jobs& jobs, late_job_policy& patience, run_plan& result,
                               time_point now) {
     if (jobs.has_late_start)
-        patience.served();
+        patience.record_placement();
     else if (!jobs.without_room.empty())
-        patience.passed_over(jobs.other_starts, now);
-    if (patience.is_over(now))
+        patience.record_passed_over(jobs.other_starts, now);
+    if (patience.should_refuse(now))
         result.late_without_capacity.insert(result.late_without_capacity.end(), jobs.without_room.begin(),
                                             jobs.without_room.end());
 }
@@ -184,7 +184,8 @@
                       (1 + utilization_weight * utilization(*agent));
         if (!step.data_rack.empty() && step.data_rack != agent->profile.backend.rack)
             cost *= remote_data_factor_;
-        if (std::find(state.avoided.begin(), state.avoided.end(), agent->number) != state.avoided.end())
+        if (std::find(state.avoided_agents.begin(), state.avoided_agents.end(), agent->number) !=
+            state.avoided_agents.end())
             cost *= failed_backend_factor;
         cost += local_overhead_seconds + (agent->profile.zone == zone_ ? 0 : remote_overhead_seconds);
         if (best == nullptr || cost < best_cost) {
--- a/coordination/run_planner.h
+++ b/coordination/run_planner.h
@@ -2,7 +2,7 @@
 
 #include "coordination/agent_directory.h"
 #include "coordination/job_ledger.h"
-#include "coordination/late_job_patience.h"
+#include "coordination/late_job_policy.h"
 #include "coordination/run_time_model.h"
 #include "state/deployment_config.h"
 #include "state/time.h"
@@ -67,7 +67,7 @@
         std::size_t other_starts = 0;
     };
 
-    static void refuse_late(const late_jobs& jobs, late_job_patience& patience, run_plan& result,
+    static void refuse_late(const late_jobs& jobs, late_job_policy& patience, run_plan& result,
                             time_point now);
     std::vector<agent_view*> usable_agents(agent_directory& agents, const std::string& service,
                                            const deployment_config& config, time_point now);
@@ -82,7 +82,7 @@
     // Free capacity of the usable agents during a planning pass.
     std::map<agent_number, resources> room_;
     // Decides for each service when its late jobs are refused.
-    std::map<std::string, late_job_patience> patience_;
+    std::map<std::string, late_job_policy> patience_;
 };
 
 } // namespace persimmonstile
--- a/coordination/run_record.h
+++ b/coordination/run_record.h
@@ -26,21 +26,21 @@
     // The job is durable, so the end of the run is acknowledged only once it is recorded in the store.
     bool is_durable = true;
     // No caller waits for the job after this time. Only set for runs of non-durable jobs.
-    time_point expires = time_point::max();
+    time_point expires_at = time_point::max();
     time_point accepted{};
     // When the start order was sent, and the fencing token that it carried.
-    time_point ordered{};
-    std::uint64_t order_token = 0;
+    time_point start_ordered_at{};
+    std::uint64_t start_token = 0;
     // The start order got no answer, so the run may have started.
-    bool in_doubt = false;
+    bool is_start_unanswered = false;
     time_point started{};
-    bool stop_wanted = false;
+    bool is_stop_requested = false;
     // A stop order is in flight or has been executed.
-    bool stop_ordered = false;
+    bool is_stop_ordered = false;
     std::uint32_t percent = 0;
     // When percent last increased, in milliseconds of the backend server's clock. 0 if the run was neither
     // confirmed nor listed by the backend server yet.
-    std::int64_t progressed_ms = 0;
+    std::int64_t last_progress_ms = 0;
     // Expected run time; 0 if unknown.
     milliseconds expected{0};
     time_point ended{};
@@ -48,7 +48,7 @@
 };
 
 // Whether a run in this state uses capacity of the backend server, or may use it.
-constexpr bool holds_room(run_state state) {
+constexpr bool uses_capacity(run_state state) {
     return state == run_state::starting || state == run_state::running;
 }
 
--- a/coordination/run_table.cpp
+++ b/coordination/run_table.cpp
@@ -12,21 +12,21 @@
 run_record& run_table::add(run_record record) {
     const run_ref key = record.run;
     run_record& added = records_.insert_or_assign(key, std::move(record)).first->second;
-    count(added, 1);
+    add_to_sums(added, 1);
     return added;
 }
 
 void run_table::set_state(run_record& record, run_state state) {
-    count(record, -1);
+    add_to_sums(record, -1);
     record.state = state;
-    count(record, 1);
+    add_to_sums(record, 1);
 }
 
 void run_table::erase(const run_ref& run) {
     const auto found = records_.find(run);
     if (found == records_.end())
         return;
-    count(found->second, -1);
+    add_to_sums(found->second, -1);
     records_.erase(found);
 }
 
@@ -35,10 +35,10 @@
         visit(record);
 }
 
-void run_table::count(const run_record& record, std::int64_t sign) {
+void run_table::add_to_sums(const run_record& record, std::int64_t sign) {
     if (record.state == run_state::queued)
         queued_ += record.needs * sign;
-    if (!holds_room(record.state))
+    if (!uses_capacity(record.state))
         return;
     held_ += record.needs * sign;
     active_count_ += static_cast<std::size_t>(sign);
--- a/coordination/run_table.h
+++ b/coordination/run_table.h
@@ -29,7 +29,7 @@
 
 private:
     // Adds the run to the sums (sign 1) or subtracts it (sign -1).
-    void count(const run_record& record, std::int64_t sign);
+    void add_to_sums(const run_record& record, std::int64_t sign);
 
     std::map<run_ref, run_record> records_;
     resources held_;
--- a/coordination/submission.h
+++ b/coordination/validated_submission.h
@@ -13,7 +13,7 @@
 
 // A submitted job that has passed the syntax checks. idempotent and default_deadline_ms come from the
 // configuration.
-struct submission {
+struct validated_submission {
     job_id job;
     std::shared_ptr<const job_spec> spec;
     std::string traceparent;
@@ -26,8 +26,9 @@
     }
 
     static constexpr auto members() {
-        return std::make_tuple(&submission::job, &submission::spec, &submission::traceparent,
-                               &submission::token, &submission::idempotent, &submission::default_deadline_ms);
+        return std::make_tuple(&validated_submission::job, &validated_submission::spec,
+                               &validated_submission::traceparent, &validated_submission::token,
+                               &validated_submission::idempotent, &validated_submission::default_deadline_ms);
     }
 };
 
--- a/daemon/caller_desk.cpp
+++ b/daemon/caller_desk.cpp
@@ -99,7 +99,7 @@
     }
     switch (request.kind) {
     case caller_request_kind::submit: {
-        submission submitted;
+        validated_submission submitted;
         submitted.job = request.job;
         submitted.spec = request.spec;
         submitted.traceparent = request.traceparent;
--- a/daemon/durable_entry.cpp
+++ b/daemon/durable_entry.cpp
@@ -18,8 +18,8 @@
 // Timers may fire late but not early. Shorter delays would only cause extra wake-ups.
 constexpr milliseconds shortest_wait{1};
 
-// Short enough to detect a persistent queue of events within a fraction of overload_limits::detection_time.
-// Costs about a fiftieth of the work that requests cause.
+// Short enough to detect a persistent queue of events within a fraction of
+// overload_thresholds::detection_time. Costs about a fiftieth of the work that requests cause.
 constexpr milliseconds load_probe_interval{25};
 
 entry_record make_member(const daemon_settings& settings) {
@@ -200,10 +200,10 @@
     run([&] { core_.caller_left(token, clock_.now()); });
 }
 
-void durable_entry::ask_state(const job_id& job, time_point answer_by, reply_handler on_reply) {
+void durable_entry::query_state(const job_id& job, time_point answer_by, reply_handler on_reply) {
     const caller_token token = ++last_token_;
     replies_[token] = {std::move(on_reply), clock_.now()};
-    run([&] { core_.ask_state(token, job, answer_by, clock_.now()); });
+    run([&] { core_.query_state(token, job, answer_by, clock_.now()); });
 }
 
 void durable_entry::cancel(const job_id& job, time_point answer_by, reply_handler on_reply) {
@@ -217,8 +217,8 @@
     run([&] { core_.begin_shutdown(now + refuse_after, now + hand_over_after, now); });
 }
 
-void durable_entry::answer_all() {
-    run([this] { core_.answer_all(); });
+void durable_entry::answer_waiting_callers() {
+    run([this] { core_.answer_waiting_callers(); });
 }
 
 std::string durable_entry::metrics_text() {
--- a/daemon/durable_entry.h
+++ b/daemon/durable_entry.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "coordination/connection_shedding.h"
+#include "coordination/connection_shedder.h"
 #include "coordination/entry_core.h"
 #include "coordination/overload_detector.h"
 #include "daemon/entry_metrics.h"
@@ -49,7 +49,7 @@
     caller_token submit(job_submission request, reply_handler on_reply);
     // The caller's connection is closed. Its handler will not be called.
     void caller_left(caller_token token);
-    void ask_state(const job_id& job, time_point answer_by, reply_handler on_reply);
+    void query_state(const job_id& job, time_point answer_by, reply_handler on_reply);
     void cancel(const job_id& job, time_point answer_by, reply_handler on_reply);
     std::uint64_t pending(const std::string& queue) const { return core_.pending(queue); }
 
@@ -60,7 +60,7 @@
     // True if the connection should be closed after the answer that is sent now, so that the caller opens a
     // new one.
     bool wants_to_close_connection() {
-        return core_.is_shutting_down() || shedding_.take_one(is_overloaded(), clock_.now());
+        return core_.is_shutting_down() || shedding_.should_close(is_overloaded(), clock_.now());
     }
     const entry_core& core() const { return core_; }
     // The current metrics in the Prometheus text format.
@@ -70,7 +70,7 @@
     // passed.
     void begin_shutdown(milliseconds refuse_after, milliseconds hand_over_after);
     // Answers all waiting callers. Called when the process is about to exit.
-    void answer_all();
+    void answer_waiting_callers();
     bool is_drained() const { return core_.has_left() && replies_.empty(); }
     void stop();
 
@@ -95,7 +95,7 @@
     // Fires at a fixed interval. Its lateness shows how long events wait to be processed.
     asio::steady_timer load_probe_;
     overload_detector overload_;
-    connection_shedding shedding_;
+    connection_shedder shedding_;
     std::string own_address_;
     caller_token last_token_ = 0;
     struct open_request {
--- a/daemon/job_engine.cpp
+++ b/daemon/job_engine.cpp
@@ -125,7 +125,7 @@
     apply(*shards_[partition % shard_count], partition_loss{partition});
 }
 
-void job_engine::submit(submission request) {
+void job_engine::submit(validated_submission request) {
     if (!has_lease()) {
         on_answer_({request.token, request.job, job_wrong_owner{}});
         return;
@@ -174,7 +174,7 @@
 }
 
 void job_engine::forget_caller(const job_id& job, caller_token token) {
-    perform(decide(shard_of(job), caller_left{job, token}));
+    perform(decide(shard_of(job), caller_departure{job, token}));
 }
 
 void job_engine::reported(const task_reports& reports) {
--- a/daemon/job_engine.h
+++ b/daemon/job_engine.h
@@ -36,7 +36,7 @@
     void gain(const partition_gain& gained);
     void lose(partition_id partition);
 
-    void submit(submission request);
+    void submit(validated_submission request);
     void lookup(const forward_lookup& request);
     void forget_caller(const job_id& job, caller_token token);
 
--- a/tests/commit_queue_test.cpp
+++ b/tests/commit_queue_test.cpp
@@ -20,7 +20,7 @@
     void SetUp() override { queue_.set_session(session_, entry_revision); }
 
     void accept(const std::string& job) {
-        queue_.add({job, commit_accept{std::make_shared<const open_job>()}}, now_);
+        queue_.add({job, acceptance_commit{std::make_shared<const open_job>()}}, now_);
     }
 
     store_item entry_item(std::uint64_t revision = entry_revision) const {
@@ -56,7 +56,7 @@
         queue_.replied(writes[0].id, write_conflict{{entry_item(), {job_key("known"), other, 12}}}, now_));
     const auto results = queue_.take_results();
     ASSERT_EQ(results.size(), 1U);
-    EXPECT_EQ(results[0].what.job, "known");
+    EXPECT_EQ(results[0].request.job, "known");
     EXPECT_EQ(results[0].outcome, commit_outcome::conflict);
     const auto retried_writes = queue_.take_writes(now_);
     ASSERT_EQ(retried_writes.size(), 1U);
@@ -111,7 +111,7 @@
 
 // Guards against losing the end of a job when the store refuses writes for 10 s.
 TEST_F(commit_queue_test, retries_an_end_until_the_store_applies_it) {
-    queue_.add({"a", commit_end{session_, {}}}, now_);
+    queue_.add({"a", end_commit{session_, {}}}, now_);
     for (int i = 0; i < 200; ++i) {
         for (const auto& write : queue_.take_writes(now_))
             queue_.replied(write.id, store_failure{"refused", false}, now_);
@@ -136,7 +136,7 @@
 TEST_F(commit_queue_test, retries_progress_with_the_current_revision) {
     auto record = std::make_shared<open_job>();
     record->progress.push_back({0, 0, 1, true, 0, {}});
-    queue_.add({"a", commit_progress{session_, record, 30}}, now_);
+    queue_.add({"a", progress_commit{session_, record, 30}}, now_);
     const auto writes = queue_.take_writes(now_);
     const std::string key = open_key(session_, "a");
     queue_.replied(writes[0].id, write_conflict{{entry_item(), {key, open_job{}, 33}}}, now_);
--- a/tests/dispatch_simulation.h
+++ b/tests/dispatch_simulation.h
@@ -989,7 +989,7 @@
             if (is_cancellation)
                 core.cancel(token, name, answer_by, now_, wall_now());
             else
-                core.ask_state(token, name, answer_by, now_);
+                core.query_state(token, name, answer_by, now_);
         });
         // A caller that gets no answer asks a random entry again.
         schedule(since_start() + milliseconds{1500}, [this, token, name, is_cancellation] {
--- a/tests/entry_core_test.cpp
+++ b/tests/entry_core_test.cpp
@@ -444,7 +444,7 @@
     done.backend_life = 1000;
     done.awaits_record = true;
     report(done);
-    entry_.ask_state(77, "a", now_ + milliseconds{1000}, now_);
+    entry_.query_state(77, "a", now_ + milliseconds{1000}, now_);
     collect();
     EXPECT_FALSE(reply_to(77));
     EXPECT_TRUE(take_messages<recorded_run_ends>().empty());
@@ -730,7 +730,7 @@
     const caller_token last = submit(job("d", false, 1));
     ASSERT_TRUE(reply_to(last));
     EXPECT_EQ(reply_to(last)->reason, submit_refusal::shutting_down);
-    entry_.answer_all();
+    entry_.answer_waiting_callers();
     collect();
     ASSERT_TRUE(reply_to(early));
     EXPECT_EQ(reply_to(early)->kind, caller_reply_kind::uncertain);
--- a/tests/job_simulation.h
+++ b/tests/job_simulation.h
@@ -327,7 +327,7 @@
         caller& waiting_caller = callers_[token];
         if (waiting_caller.answered)
             return;
-        submission request;
+        validated_submission request;
         request.job = waiting_caller.job;
         auto spec = std::make_shared<job_spec>();
         spec->service = service;
--- a/tests/overload_detector_test.cpp
+++ b/tests/overload_detector_test.cpp
@@ -12,7 +12,7 @@
 // Drives one overload_detector with simulated timers.
 class overload_detector_test : public testing::Test {
 protected:
-    overload_limits limits_;
+    overload_thresholds limits_;
     overload_detector detector_{limits_};
     time_point now_{100s};
 
--- a/tests/promise_check_test.cpp
+++ b/tests/promise_check_test.cpp
@@ -43,7 +43,7 @@
     }
 
     // The end of the run was acknowledged and counts.
-    void note_end(task_index index, run_number run, run_state how) {
+    void log_job_end(task_index index, run_number run, run_state how) {
         check_.run_event(
             backend_,
             {order_backend::event::kind::noted, {{"job", 0, 0, index}, run}, how, start_time, last_end_},
@@ -84,7 +84,7 @@
 TEST_F(promises, a_run_after_an_acknowledged_success_is_seen) {
     start(0, 1, backend_);
     end(0, 1, backend_, run_state::done);
-    note_end(0, 1, run_state::done);
+    log_job_end(0, 1, run_state::done);
     start(0, 2, other_);
     expect_broken("one run");
 }
@@ -100,7 +100,7 @@
     for (run_number run = 1; run <= 2; ++run) {
         start(0, run, backend_);
         end(0, run, backend_, run_state::failed);
-        note_end(0, run, run_state::failed);
+        log_job_end(0, run, run_state::failed);
     }
     start(0, 3, backend_);
     expect_broken("attempts");
