--- a/coordination/admission.h
+++ b/coordination/admission.h
@@ -16,16 +16,16 @@
 // serving        at least one does
 // none_left      there was one before, but none accepts tasks now
 // not_yet_known  no agent has offered the service since this entry started
-enum class service_presence : std::uint8_t { serving, none_left, not_yet_known };
+enum class service_availability : std::uint8_t { serving, none_left, not_yet_known };
 
 // Load of a service when a job arrives. Times are in seconds, rates in tasks per second of this entry.
 struct admission_load {
     // Waiting tasks of all teams.
-    std::size_t service_waiting = 0;
+    std::size_t service_waiting_tasks = 0;
     // Waiting tasks of the job's team.
-    std::size_t team_waiting = 0;
+    std::size_t team_waiting_tasks = 0;
     // Expected number of the team's waiting tasks that run before the job.
-    double team_ahead = 0;
+    double team_tasks_ahead = 0;
     // Tasks of mean run time that this entry can complete per second.
     double rate = 0;
     // Minimum fraction of the rate that the team gets while all teams with waiting jobs compete.
@@ -44,7 +44,7 @@
 
 // Refuses a job that can never run, or for which no backend server is available at present.
 std::optional<job_failed> check_runnable(const fleet_view* fleet, const job_spec& spec,
-                                         service_presence presence);
+                                         service_availability availability);
 
 // Refuses a job that exceeds the free capacity of the queue or the team's part of it.
 std::optional<job_failed> check_queue(const admission_load& load, std::uint32_t queue_limit,
--- a/coordination/entry_callers.cpp
+++ b/coordination/entry_callers.cpp
@@ -1,6 +1,6 @@
 #include "coordination/entry_core.h"
+#include "coordination/find_queue.h"
 #include "coordination/job_summary.h"
-#include "coordination/queue_router.h"
 
 #include <algorithm>
 #include <utility>
@@ -64,7 +64,7 @@
         refuse(request, submit_refusal::shutting_down, milliseconds{0});
         return;
     }
-    const queue_policy* queue = config_ ? find_queue_named(*config_, request.queue) : nullptr;
+    const queue_policy* queue = config_ ? find_queue_by_name(*config_, request.queue) : nullptr;
     if (queue == nullptr) {
         refuse(request, submit_refusal::no_configuration, default_retry_delay);
         return;
@@ -118,7 +118,7 @@
     inputs.emplace_back("state", std::string{to_string(job.state)});
     if (job.is_durable())
         inputs.emplace_back("record_us", std::chrono::duration_cast<microseconds>(now - job.ended).count());
-    const queue_policy* queue = config_ ? find_queue_named(*config_, job.record->queue) : nullptr;
+    const queue_policy* queue = config_ ? find_queue_by_name(*config_, job.record->queue) : nullptr;
     const time_point in_time = run_time_model_.target_of(job, queue).in_time;
     if (job.state == job_state::failed)
         record_decision("job failed", job.id, std::move(inputs), true);
@@ -201,7 +201,7 @@
     }
     const ledger_job* known = ledger_.find(job);
     if (known == nullptr) {
-        locator_.ask(token, job, false, answer_by - reply_margin, now);
+        locator_.look_up(token, job, false, answer_by - reply_margin, now);
         return;
     }
     if (known->phase == job_phase::ending) {
@@ -222,7 +222,7 @@
     }
     ledger_job* known = ledger_.find(job);
     if (known == nullptr || known->phase == job_phase::accepting)
-        locator_.ask(token, job, true, answer_by - reply_margin, now);
+        locator_.look_up(token, job, true, answer_by - reply_margin, now);
     else
         cancel_own_job(*known, token, answer_by - reply_margin, now);
 }
--- a/coordination/entry_core.cpp
+++ b/coordination/entry_core.cpp
@@ -116,7 +116,7 @@
 }
 
 void entry_core::receive(link_number, const job_lookup_reply& message, time_point now) {
-    locator_.answered(message, now);
+    locator_.process_answer(message, now);
 }
 
 void entry_core::receive(link_number link, const queue_counts& message, time_point now) {
@@ -180,7 +180,7 @@
         process_orphan_check(own_id, answer, now);
         break;
     case store_call_source::locator:
-        locator_.read_replied(own_id, answer, members(), session(), now);
+        locator_.process_store_reply(own_id, answer, members(), session(), now);
         break;
     }
 }
@@ -228,7 +228,7 @@
 entry_output entry_core::take_output(time_point now) {
     if (is_session_update_needed_)
         update_sessions(now);
-    for (const job_locator::own_job& lookup : locator_.take_own())
+    for (const job_locator::own_job& lookup : locator_.take_own_jobs())
         answer_own_job(lookup, now);
     for (auto& [owner, question] : locator_.take_questions()) {
         for (const auto& [link, peer] : peers_) {
--- a/coordination/queue_router.h
+++ b/coordination/find_queue.h
@@ -20,7 +20,7 @@
     return best;
 }
 
-inline const queue_policy* find_queue_named(const deployment_config& config, std::string_view name) {
+inline const queue_policy* find_queue_by_name(const deployment_config& config, std::string_view name) {
     for (const queue_policy& queue : config.queues) {
         if (queue.name == name)
             return &queue;
--- a/coordination/job_actions.h
+++ b/coordination/job_actions.h
@@ -15,7 +15,7 @@
 namespace persimmonstile {
 
 // A task message for one agent.
-struct task_send {
+struct task_message_to_agent {
     incarnation to;
     task_message message;
 };
@@ -55,7 +55,7 @@
 
 // Actions that the entry has to carry out after an event of the job table.
 struct job_actions {
-    std::vector<task_send> sends;
+    std::vector<task_message_to_agent> sends;
     std::vector<caller_answer> answers;
     std::vector<queue_request> queue;
     std::vector<returned_task> returned;
--- a/coordination/job_locator.cpp
+++ b/coordination/job_locator.cpp
@@ -16,20 +16,20 @@
 
 } // namespace
 
-void job_locator::ask(caller_token token, const job_id& job, bool is_cancellation, time_point answer_by,
-                      time_point now) {
+void job_locator::look_up(caller_token token, const job_id& job, bool is_cancellation, time_point answer_by,
+                          time_point now) {
     const std::uint64_t id = ++last_id_;
     lookup& pending = lookups_[id];
     pending.token = token;
     pending.job = job;
     pending.is_cancellation = is_cancellation;
     pending.answer_by = answer_by;
-    start(id, pending, now);
+    send_lookup(id, pending, now);
 }
 
-void job_locator::start(std::uint64_t id, lookup& pending, time_point now) {
-    pending.asked = now;
-    pending.again = now + answer_timeout;
+void job_locator::send_lookup(std::uint64_t id, lookup& pending, time_point now) {
+    pending.asked_at = now;
+    pending.retry_at = now + answer_timeout;
     const auto known = owners_.find(pending.job);
     if (known == owners_.end())
         reads_.push_back({id, pending.job});
@@ -41,8 +41,9 @@
     replies_.push_back({pending.token, kind, state, submit_refusal::none, milliseconds{0}});
 }
 
-void job_locator::read_replied(std::uint64_t id, const store_reply& answer, const member_directory& members,
-                               const incarnation& self, time_point now) {
+void job_locator::process_store_reply(std::uint64_t id, const store_reply& answer,
+                                      const member_directory& members, const incarnation& self,
+                                      time_point now) {
     const auto found = lookups_.find(id);
     if (found == lookups_.end())
         return;
@@ -55,7 +56,7 @@
     const auto* item = std::get_if<item_found>(&answer);
     const auto* status = item != nullptr ? std::get_if<job_status>(&item->item.value) : nullptr;
     if (status == nullptr) {
-        pending.again = now + retry_delay;
+        pending.retry_at = now + retry_delay;
         return;
     }
     if (is_final(status->state)) {
@@ -66,7 +67,7 @@
     }
     const std::optional<incarnation> owner = members.owner_of(status->owner);
     if (owner && *owner == self) {
-        own_.push_back({pending.token, pending.job, pending.is_cancellation, pending.answer_by});
+        own_jobs_.push_back({pending.token, pending.job, pending.is_cancellation, pending.answer_by});
         lookups_.erase(found);
         return;
     }
@@ -75,7 +76,7 @@
         // unknown whether it has started, so it is reported as queued. A cancellation has to wait for the
         // successor.
         if (pending.is_cancellation) {
-            pending.again = now + retry_delay;
+            pending.retry_at = now + retry_delay;
         } else {
             reply(pending, caller_reply_kind::state, job_state::queued);
             lookups_.erase(found);
@@ -85,10 +86,10 @@
     if (owners_.size() >= max_cached_owners)
         owners_.clear();
     owners_[pending.job] = *owner;
-    start(id, pending, now);
+    send_lookup(id, pending, now);
 }
 
-void job_locator::answered(const job_lookup_reply& answer, time_point now) {
+void job_locator::process_answer(const job_lookup_reply& answer, time_point now) {
     const auto found = lookups_.find(answer.token);
     if (found == lookups_.end())
         return;
@@ -96,7 +97,7 @@
     if (!answer.is_known) {
         // The cached owner no longer has the job.
         owners_.erase(pending.job);
-        pending.again = now + retry_delay;
+        pending.retry_at = now + retry_delay;
         return;
     }
     const bool is_cancelled = pending.is_cancellation && is_final(answer.state);
@@ -114,9 +115,9 @@
             it = lookups_.erase(it);
             continue;
         }
-        if (now >= pending.again) {
+        if (now >= pending.retry_at) {
             owners_.erase(pending.job);
-            start(it->first, pending, now);
+            send_lookup(it->first, pending, now);
         }
         ++it;
     }
@@ -125,7 +126,7 @@
 std::optional<time_point> job_locator::next_wakeup() const {
     std::optional<time_point> next;
     for (const auto& [id, pending] : lookups_) {
-        const time_point due = std::min(pending.again, pending.answer_by);
+        const time_point due = std::min(pending.retry_at, pending.answer_by);
         next = next ? std::min(*next, due) : due;
     }
     return next;
--- a/coordination/job_locator.h
+++ b/coordination/job_locator.h
@@ -23,22 +23,22 @@
 class job_locator {
 public:
     // A read of the job's state from the store. The id is that of the lookup.
-    struct read {
+    struct store_read {
         std::uint64_t id = 0;
         job_id job;
     };
 
     // Starts a lookup for a caller that asks for the state of a job or for its cancellation.
-    void ask(caller_token token, const job_id& job, bool is_cancellation, time_point answer_by,
-             time_point now);
+    void look_up(caller_token token, const job_id& job, bool is_cancellation, time_point answer_by,
+                 time_point now);
 
-    void read_replied(std::uint64_t id, const store_reply& reply, const member_directory& members,
-                      const incarnation& self, time_point now);
-    void answered(const job_lookup_reply& answer, time_point now);
+    void process_store_reply(std::uint64_t id, const store_reply& reply, const member_directory& members,
+                             const incarnation& self, time_point now);
+    void process_answer(const job_lookup_reply& answer, time_point now);
     // Retries lookups that got no answer. Those past answer_by are dropped and answered as uncertain.
     void tick(time_point now);
 
-    std::vector<read> take_reads() { return std::exchange(reads_, {}); }
+    std::vector<store_read> take_reads() { return std::exchange(reads_, {}); }
     // Questions to be sent to the owners of jobs.
     std::vector<std::pair<incarnation, job_lookup_request>> take_questions() {
         return std::exchange(questions_, {});
@@ -51,7 +51,7 @@
         bool is_cancellation = false;
         time_point answer_by{};
     };
-    std::vector<own_job> take_own() { return std::exchange(own_, {}); }
+    std::vector<own_job> take_own_jobs() { return std::exchange(own_jobs_, {}); }
     std::optional<time_point> next_wakeup() const;
 
 private:
@@ -61,22 +61,22 @@
         job_id job;
         bool is_cancellation = false;
         time_point answer_by{};
-        time_point asked{};
+        time_point asked_at{};
         // The lookup is retried at this time if no answer arrives.
-        time_point again{};
+        time_point retry_at{};
     };
 
-    void start(std::uint64_t id, lookup& pending, time_point now);
+    void send_lookup(std::uint64_t id, lookup& pending, time_point now);
     void reply(const lookup& pending, caller_reply_kind kind, job_state state);
 
     std::uint64_t last_id_ = 0;
     std::map<std::uint64_t, lookup> lookups_;
     // Cached owners of jobs, so that the next lookup needs no call to the store.
     std::unordered_map<job_id, incarnation> owners_;
-    std::vector<read> reads_;
+    std::vector<store_read> reads_;
     std::vector<std::pair<incarnation, job_lookup_request>> questions_;
     std::vector<caller_reply> replies_;
-    std::vector<own_job> own_;
+    std::vector<own_job> own_jobs_;
 };
 
 } // namespace persimmonstile
--- a/coordination/admission_job_mix.h
+++ b/coordination/job_size_distribution.h
@@ -8,7 +8,7 @@
 namespace persimmonstile {
 
 // Tracks how the tasks of recent jobs are distributed over the size classes of fair_queue.
-class admission_job_mix {
+class job_size_distribution {
 public:
     void add(std::size_t size_class, std::size_t tasks) {
         counts_[size_class] += static_cast<double>(tasks);
--- a/coordination/job_table.cpp
+++ b/coordination/job_table.cpp
@@ -36,11 +36,11 @@
     return failed;
 }
 
-std::string task_place(task_index index, const incarnation& agent) {
+std::string describe_task(task_index index, const incarnation& agent) {
     return "task " + std::to_string(index) + " on agent " + agent.name;
 }
 
-std::size_t bytes_of(const job_id& job, const owned_job& record) {
+std::size_t estimate_bytes(const job_id& job, const owned_job& record) {
     std::size_t bytes = record_overhead_bytes + job.size();
     if (record.outcome && std::holds_alternative<job_complete>(*record.outcome)) {
         for (const std::string& answer : std::get<job_complete>(*record.outcome).answers)
@@ -55,7 +55,7 @@
     record.callers.clear();
 }
 
-std::map<incarnation, std::vector<task_index>> dispatched_by_agent(const owned_job& record) {
+std::map<incarnation, std::vector<task_index>> group_dispatched_by_agent(const owned_job& record) {
     std::map<incarnation, std::vector<task_index>> result;
     for (std::size_t i = 0; i < record.tasks.size(); ++i) {
         if (record.tasks[i].phase == owned_task_phase::dispatched)
@@ -102,7 +102,7 @@
     partition.epoch = gained.epoch;
     partition.is_first_epoch = gained.is_first_epoch;
     partition.known_since = wall_now;
-    partition.inherited.clear();
+    partition.inherited_jobs.clear();
     partition.suspects = {gained.suspects.begin(), gained.suspects.end()};
     return {};
 }
@@ -120,7 +120,7 @@
     handover.known_since_ns =
         std::chrono::duration_cast<std::chrono::nanoseconds>(owned->second.known_since.time_since_epoch())
             .count();
-    handover.jobs.assign(owned->second.inherited.begin(), owned->second.inherited.end());
+    handover.jobs.assign(owned->second.inherited_jobs.begin(), owned->second.inherited_jobs.end());
     partitions_.erase(owned);
     for (auto it = jobs_.begin(); it != jobs_.end();) {
         owned_job& record = it->second;
@@ -130,12 +130,12 @@
         }
         handover.jobs.push_back(hash_job_id(it->first));
         answer_callers(it->first, record, job_wrong_owner{}, actions);
-        for (const auto& [agent, tasks] : dispatched_by_agent(record)) {
+        for (const auto& [agent, tasks] : group_dispatched_by_agent(record)) {
             for (const task_index index : tasks) {
                 task_report report;
                 report.index = index;
                 actions.returned.push_back({agent, it->first, report});
-                release(record, it->first, agent);
+                release_task(record, it->first, agent);
             }
         }
         actions.withdrawn.push_back(it->first);
@@ -211,7 +211,7 @@
     }
     record.phase = owned_job_phase::querying;
     for (const incarnation& agent : partition.suspects) {
-        if (has_parted_without(agent, request.job))
+        if (has_departed_without(agent, request.job))
             continue;
         if (gone_agents_.contains(agent)) {
             end_job(request.job, record,
@@ -227,21 +227,21 @@
         finish_query(request.job, record, now, actions);
 }
 
-bool job_table::has_parted_without(const incarnation& agent, const job_id& job) const {
-    const auto found = parted_agents_.find(agent);
-    return found != parted_agents_.end() && !found->second.jobs.contains(hash_job_id(job));
+bool job_table::has_departed_without(const incarnation& agent, const job_id& job) const {
+    const auto found = departed_agents_.find(agent);
+    return found != departed_agents_.end() && !found->second.jobs.contains(hash_job_id(job));
 }
 
-job_actions job_table::apply(const agent_departure& parting, time_point now, wall_time) {
+job_actions job_table::apply(const agent_departure& departure, time_point now, wall_time) {
     job_actions actions;
-    parted_agents_[parting.agent] = {now, {parting.jobs.begin(), parting.jobs.end()}};
+    departed_agents_[departure.agent] = {now, {departure.jobs.begin(), departure.jobs.end()}};
     for (auto& [job, record] : jobs_) {
-        const bool answered = record.phase == owned_job_phase::querying &&
-                              record.unanswered_agents.contains(parting.agent) &&
-                              has_parted_without(parting.agent, job);
-        if (!answered)
+        const bool is_answered = record.phase == owned_job_phase::querying &&
+                                 record.unanswered_agents.contains(departure.agent) &&
+                                 has_departed_without(departure.agent, job);
+        if (!is_answered)
             continue;
-        record.unanswered_agents.erase(parting.agent);
+        record.unanswered_agents.erase(departure.agent);
         if (record.unanswered_agents.empty())
             finish_query(job, record, now, actions);
     }
@@ -251,7 +251,7 @@
 bool job_table::needs_query(const job_id& job, const owned_partition& partition) const {
     if (partition.suspects.empty())
         return false;
-    if (partition.inherited.contains(hash_job_id(job)))
+    if (partition.inherited_jobs.contains(hash_job_id(job)))
         return true;
     if (partition.is_first_epoch)
         return false;
@@ -267,7 +267,7 @@
     owned->second.is_first_epoch = handover.is_first_epoch;
     owned->second.known_since = wall_time{
         std::chrono::duration_cast<wall_time::duration>(std::chrono::nanoseconds{handover.known_since_ns})};
-    owned->second.inherited.insert(handover.jobs.begin(), handover.jobs.end());
+    owned->second.inherited_jobs.insert(handover.jobs.begin(), handover.jobs.end());
     return {};
 }
 
@@ -316,10 +316,10 @@
         admitted(decision.job, actions);
         break;
     case admission_result::refused:
-        actions = drop_admitting(decision.job, job_outcome{decision.refusal});
+        actions = drop_unadmitted(decision.job, job_outcome{decision.refusal});
         break;
     case admission_result::abandoned:
-        actions = drop_admitting(decision.job, job_wrong_owner{});
+        actions = drop_unadmitted(decision.job, job_wrong_owner{});
         break;
     }
     return actions;
@@ -335,7 +335,7 @@
         actions.withdrawn.push_back(job);
 }
 
-job_actions job_table::drop_admitting(const job_id& job, const job_reply& reply) {
+job_actions job_table::drop_unadmitted(const job_id& job, const job_reply& reply) {
     job_actions actions;
     const auto found = jobs_.find(job);
     if (found == jobs_.end() || found->second.phase != owned_job_phase::admitting)
@@ -353,11 +353,11 @@
     // The scheduler may assign tasks of a new job before its admission has been reported here.
     if (found != jobs_.end() && found->second.phase == owned_job_phase::admitting)
         found->second.phase = owned_job_phase::running;
-    const bool assignable = found != jobs_.end() && found->second.phase == owned_job_phase::running &&
-                            !gone_agents_.contains(chosen.agent);
+    const bool is_assignable = found != jobs_.end() && found->second.phase == owned_job_phase::running &&
+                               !gone_agents_.contains(chosen.agent);
     std::vector<task_index> sent;
     for (const task_index index : chosen.tasks) {
-        if (assignable && index < found->second.tasks.size() &&
+        if (is_assignable && index < found->second.tasks.size() &&
             found->second.tasks[index].phase == owned_task_phase::waiting) {
             sent.push_back(index);
             continue;
@@ -368,7 +368,7 @@
         report.reason = refusal::revoked;
         actions.returned.push_back({chosen.agent, chosen.job, report});
     }
-    if (found != jobs_.end() && found->second.phase == owned_job_phase::running && !assignable)
+    if (found != jobs_.end() && found->second.phase == owned_job_phase::running && !is_assignable)
         actions.queue.push_back(
             {chosen.job, found->second.spec, chosen.tasks, found->second.deadline, false});
     if (sent.empty())
@@ -410,9 +410,9 @@
     job_actions actions;
     const auto found = jobs_.find(reports.job);
     const auto partition = partitions_.find(partition_of(reports.job));
-    const bool current =
+    const bool is_current =
         found != jobs_.end() && partition != partitions_.end() && partition->second.epoch == reports.epoch;
-    if (!current) {
+    if (!is_current) {
         actions.stray_reports += reports.reports.size();
         return actions;
     }
@@ -425,9 +425,9 @@
                              const task_report& report, time_point now, job_actions& actions) {
     const bool known = report.index < record.tasks.size();
     owned_task* task = known ? &record.tasks[report.index] : nullptr;
-    const bool expected = known && task->phase == owned_task_phase::dispatched &&
-                          task->agent == reports.agent && task->attempt == report.attempt;
-    if (!expected) {
+    const bool is_expected = known && task->phase == owned_task_phase::dispatched &&
+                             task->agent == reports.agent && task->attempt == report.attempt;
+    if (!is_expected) {
         ++actions.stray_reports;
         return;
     }
@@ -435,7 +435,7 @@
     // newer epoch does with the task.
     if (report.status == task_status::running || report.reason == refusal::stale_epoch)
         return;
-    release(record, job, reports.agent);
+    release_task(record, job, reports.agent);
     actions.returned.push_back({reports.agent, job, report});
     task->phase = owned_task_phase::done;
     if (record.phase == owned_job_phase::ended)
@@ -450,7 +450,7 @@
     case task_status::failed:
         end_job(job, record,
                 failure(failure_reason::task_failed,
-                        task_place(report.index, reports.agent) + ": " + report.text),
+                        describe_task(report.index, reports.agent) + ": " + report.text),
                 now, actions);
         break;
     case task_status::not_started:
@@ -459,13 +459,13 @@
         break;
     case task_status::unknown:
     case task_status::running:
-        task_unknown(job, record, *task, report.index, now, actions);
+        process_lost_result(job, record, *task, report.index, now, actions);
         break;
     }
 }
 
-void job_table::task_unknown(const job_id& job, owned_job& record, owned_task& task, task_index index,
-                             time_point now, job_actions& actions) {
+void job_table::process_lost_result(const job_id& job, owned_job& record, owned_task& task, task_index index,
+                                    time_point now, job_actions& actions) {
     if (record.idempotent && record.retries < max_retries_per_request) {
         ++record.retries;
         task.phase = owned_task_phase::waiting;
@@ -475,7 +475,7 @@
     task.phase = owned_task_phase::done;
     end_job(job, record,
             failure(failure_reason::outcome_unknown,
-                    "the result of " + task_place(index, task.agent) + " was lost"),
+                    "the result of " + describe_task(index, task.agent) + " was lost"),
             now, actions);
 }
 
@@ -483,10 +483,10 @@
     job_actions actions;
     const auto found = jobs_.find(report.job);
     const auto partition = partitions_.find(report.partition);
-    const bool expected = found != jobs_.end() && found->second.phase == owned_job_phase::querying &&
-                          partition != partitions_.end() && partition->second.epoch == report.epoch &&
-                          found->second.unanswered_agents.contains(report.agent);
-    if (!expected) {
+    const bool is_expected = found != jobs_.end() && found->second.phase == owned_job_phase::querying &&
+                             partition != partitions_.end() && partition->second.epoch == report.epoch &&
+                             found->second.unanswered_agents.contains(report.agent);
+    if (!is_expected) {
         ++actions.stray_reports;
         return actions;
     }
@@ -497,7 +497,7 @@
             apply_queried_task(report.job, record, report.agent, task, now, actions);
     }
     if (record.phase == owned_job_phase::querying)
-        confirm_adopted(report, record, now, actions);
+        resend_adopted_tasks(report, record, now, actions);
     if (record.phase == owned_job_phase::querying && record.unanswered_agents.empty())
         finish_query(report.job, record, now, actions);
     return actions;
@@ -506,8 +506,8 @@
 // Sends the dispatch again for tasks that the agent lists as running. The answer may have arrived late over a
 // connection that has been replaced, so such a task may have ended and its report may be lost. A second
 // dispatch makes the agent repeat the report of an ended task.
-void job_table::confirm_adopted(const job_report& report, const owned_job& record, time_point now,
-                                job_actions& actions) const {
+void job_table::resend_adopted_tasks(const job_report& report, const owned_job& record, time_point now,
+                                     job_actions& actions) const {
     std::vector<task_index> adopted;
     for (const task_report& task : report.reports) {
         if (task.status == task_status::running && task.index < record.tasks.size())
@@ -538,14 +538,14 @@
         break;
     case task_status::failed:
         end_job(job, record,
-                failure(failure_reason::task_failed, task_place(report.index, agent) + ": " + report.text),
+                failure(failure_reason::task_failed, describe_task(report.index, agent) + ": " + report.text),
                 now, actions);
         break;
     case task_status::unknown:
         task.agent = agent;
         end_job(job, record,
                 failure(failure_reason::outcome_unknown,
-                        "the result of " + task_place(report.index, agent) + " was lost"),
+                        "the result of " + describe_task(report.index, agent) + " was lost"),
                 now, actions);
         break;
     case task_status::not_started:
@@ -560,10 +560,10 @@
     }
     const std::vector<task_index> waiting = waiting_tasks(record);
     // If no agent knows the job, it is treated like a new one and may still be refused as not_run.
-    const bool untouched = !record.was_found_by_query;
-    record.phase = untouched ? owned_job_phase::admitting : owned_job_phase::running;
+    const bool is_unseen = !record.was_found_by_query;
+    record.phase = is_unseen ? owned_job_phase::admitting : owned_job_phase::running;
     if (!waiting.empty())
-        actions.queue.push_back({job, record.spec, waiting, record.deadline, untouched});
+        actions.queue.push_back({job, record.spec, waiting, record.deadline, is_unseen});
 }
 
 job_actions job_table::apply(const agent_presence& presence, time_point now, wall_time) {
@@ -610,16 +610,16 @@
             if (task.phase != owned_task_phase::dispatched || task.agent != agent)
                 continue;
             const auto index = static_cast<task_index>(i);
-            release(record, job, agent);
+            release_task(record, job, agent);
             task.phase = owned_task_phase::done;
             if (record.phase == owned_job_phase::ended)
                 continue;
-            if (has_parted_without(agent, job)) {
+            if (has_departed_without(agent, job)) {
                 task.phase = owned_task_phase::waiting;
                 actions.queue.push_back({job, record.spec, {index}, record.deadline, false});
                 continue;
             }
-            task_unknown(job, record, task, index, now, actions);
+            process_lost_result(job, record, task, index, now, actions);
         }
     }
     for (auto& [job, record] : jobs_) {
@@ -634,7 +634,7 @@
 
 void job_table::end_job(const job_id& job, owned_job& record, job_outcome outcome, time_point now,
                         job_actions& actions) {
-    for (const auto& [agent, tasks] : dispatched_by_agent(record))
+    for (const auto& [agent, tasks] : group_dispatched_by_agent(record))
         actions.sends.push_back(
             {agent, make_revoke(job, record, partitions_.at(record.partition).epoch, tasks)});
     ended_job ended;
@@ -650,10 +650,10 @@
     record.ended = now;
     record.unanswered_agents.clear();
     record.outcome = std::move(outcome);
-    record.retained_bytes = bytes_of(job, record);
+    record.retained_bytes = estimate_bytes(job, record);
     retained_bytes_ += record.retained_bytes;
     --active_jobs_;
-    ended_order_.emplace_back(now, job);
+    ended_jobs_by_time_.emplace_back(now, job);
     // From now on only the service and the digest are needed; the digest detects a conflicting resubmission.
     auto digest_only = std::make_shared<job_spec>();
     digest_only->service = record.spec->service;
@@ -662,7 +662,7 @@
     answer_callers(job, record, *record.outcome, actions);
 }
 
-void job_table::release(owned_job& record, const job_id& job, const incarnation& agent) {
+void job_table::release_task(owned_job& record, const job_id& job, const incarnation& agent) {
     const auto found = record.outstanding.find(agent);
     if (found == record.outstanding.end() || --found->second > 0)
         return;
@@ -697,20 +697,21 @@
 }
 
 void job_table::expire_ended(time_point now) {
-    std::erase_if(parted_agents_,
-                  [&](const auto& parted) { return parted.second.when + deduplication_window <= now; });
-    while (!ended_order_.empty() && ended_order_.front().first + deduplication_window <= now) {
-        const auto [ended, job] = ended_order_.front();
-        ended_order_.pop_front();
+    std::erase_if(departed_agents_, [&](const auto& departed) {
+        return departed.second.departed_at + deduplication_window <= now;
+    });
+    while (!ended_jobs_by_time_.empty() && ended_jobs_by_time_.front().first + deduplication_window <= now) {
+        const auto [ended, job] = ended_jobs_by_time_.front();
+        ended_jobs_by_time_.pop_front();
         const auto found = jobs_.find(job);
-        const bool same = found != jobs_.end() && found->second.phase == owned_job_phase::ended &&
-                          found->second.ended == ended;
-        if (!same)
+        const bool is_same_end = found != jobs_.end() && found->second.phase == owned_job_phase::ended &&
+                                 found->second.ended == ended;
+        if (!is_same_end)
             continue;
         owned_job& record = found->second;
         for (const auto& [agent, count] : std::map{record.outstanding}) {
             for (std::uint32_t i = 0; i < count; ++i)
-                release(record, job, agent);
+                release_task(record, job, agent);
         }
         retained_bytes_ -= record.retained_bytes;
         jobs_.erase(found);
--- a/coordination/job_table.h
+++ b/coordination/job_table.h
@@ -46,7 +46,7 @@
     job_actions apply(const clock_tick& tick, time_point now, wall_time wall_now);
     // An agent that stops as planned lists its jobs. It has run no task of any other job, so such jobs need
     // no answer from it, also after it is gone.
-    job_actions apply(const agent_departure& parting, time_point now, wall_time wall_now);
+    job_actions apply(const agent_departure& departure, time_point now, wall_time wall_now);
     // Takes over what the former owner knew of the partition, if this shard owns it in the following epoch.
     job_actions apply(const partition_handover& handover, time_point now, wall_time wall_now);
 
@@ -63,13 +63,13 @@
         // former owner.
         wall_time known_since;
         // Hashes of the job ids that the former owner listed in its handover.
-        std::unordered_set<std::uint64_t> inherited;
+        std::unordered_set<std::uint64_t> inherited_jobs;
         // Agents that may have started tasks under earlier epochs.
         std::set<incarnation> suspects;
     };
     // An agent that stopped as planned, with the hashes of the job ids that it listed.
-    struct parted_agent {
-        time_point when;
+    struct departed_agent {
+        time_point departed_at;
         std::unordered_set<std::uint64_t> jobs;
     };
     using job_map = std::unordered_map<job_id, owned_job>;
@@ -81,21 +81,21 @@
     void admitted(const job_id& job, job_actions& actions);
     job_actions agent_connected(const incarnation& agent, config_revision revision, time_point now);
     job_actions agent_gone(const incarnation& agent, time_point now);
-    bool has_parted_without(const incarnation& agent, const job_id& job) const;
+    bool has_departed_without(const incarnation& agent, const job_id& job) const;
     bool needs_query(const job_id& job, const owned_partition& partition) const;
-    job_actions drop_admitting(const job_id& job, const job_reply& reply);
+    job_actions drop_unadmitted(const job_id& job, const job_reply& reply);
     void finish_query(const job_id& job, owned_job& record, time_point now, job_actions& actions);
-    void confirm_adopted(const job_report& report, const owned_job& record, time_point now,
-                         job_actions& actions) const;
+    void resend_adopted_tasks(const job_report& report, const owned_job& record, time_point now,
+                              job_actions& actions) const;
     void apply_queried_task(const job_id& job, owned_job& record, const incarnation& agent,
                             const task_report& report, time_point now, job_actions& actions);
     void apply_report(const job_id& job, owned_job& record, const task_reports& reports,
                       const task_report& report, time_point now, job_actions& actions);
-    void task_unknown(const job_id& job, owned_job& record, owned_task& task, task_index index,
-                      time_point now, job_actions& actions);
+    void process_lost_result(const job_id& job, owned_job& record, owned_task& task, task_index index,
+                             time_point now, job_actions& actions);
     void end_job(const job_id& job, owned_job& record, job_outcome outcome, time_point now,
                  job_actions& actions);
-    void release(owned_job& record, const job_id& job, const incarnation& agent);
+    void release_task(owned_job& record, const job_id& job, const incarnation& agent);
     void send_dispatch(const job_id& job, const owned_job& record, const incarnation& agent,
                        const std::vector<task_index>& tasks, config_revision revision, time_point now,
                        job_actions& actions) const;
@@ -108,11 +108,11 @@
     std::map<incarnation, std::set<job_id>> jobs_by_agent_;
     std::multimap<time_point, job_id> deadlines_;
     // Ended jobs with the times of their ends, oldest first.
-    std::deque<std::pair<time_point, job_id>> ended_order_;
+    std::deque<std::pair<time_point, job_id>> ended_jobs_by_time_;
     std::set<incarnation> gone_agents_;
     // Agents that stopped as planned. Each is kept for the deduplication window, as long as its records would
     // have been needed.
-    std::map<incarnation, parted_agent> parted_agents_;
+    std::map<incarnation, departed_agent> departed_agents_;
     std::size_t active_jobs_ = 0;
     std::size_t retained_bytes_ = 0;
 };
--- a/coordination/placement_heap.h
+++ b/coordination/placement_heap.h
@@ -13,7 +13,7 @@
 class placement_heap {
 public:
     // Inserts the element or changes its key.
-    void update(std::uint32_t id, double key, std::uint32_t tie) {
+    void update(std::uint32_t id, double key, std::uint32_t tie_breaker) {
         if (id >= positions_.size())
             positions_.resize(id + std::size_t{1}, absent);
         std::uint32_t position = positions_[id];
@@ -21,7 +21,7 @@
             position = static_cast<std::uint32_t>(nodes_.size());
             nodes_.push_back(node{});
         }
-        nodes_[position] = {key, tie, id};
+        nodes_[position] = {key, tie_breaker, id};
         positions_[id] = position;
         sift_down(sift_up(position));
     }
@@ -49,14 +49,15 @@
 private:
     struct node {
         double key = 0;
-        std::uint32_t tie = 0;
+        std::uint32_t tie_breaker = 0;
         std::uint32_t id = 0;
     };
 
     static constexpr std::uint32_t absent = std::numeric_limits<std::uint32_t>::max();
 
     bool less(std::uint32_t a, std::uint32_t b) const {
-        return std::pair{nodes_[a].key, nodes_[a].tie} < std::pair{nodes_[b].key, nodes_[b].tie};
+        return std::pair{nodes_[a].key, nodes_[a].tie_breaker} <
+               std::pair{nodes_[b].key, nodes_[b].tie_breaker};
     }
 
     void swap_nodes(std::uint32_t a, std::uint32_t b) {
--- a/coordination/admission_retry_budget.h
+++ b/coordination/retry_budget.h
@@ -10,10 +10,10 @@
 
 // Limits retried tasks to a fraction of the load, so that refusals cannot multiply the messages of an
 // overloaded system.
-class admission_retry_budget {
+class retry_budget {
 public:
     // Adds the retries earned by assigned tasks: a tenth of a retry for each task.
-    void earn(std::uint32_t tasks) { tokens_ = std::min(tokens_ + tasks * retries_per_task, reserve); }
+    void earn(std::uint32_t tasks) { tokens_ = std::min(tokens_ + tasks * retries_per_task, max_tokens); }
 
     // Spends up to the given number of retries and returns how many were granted.
     std::uint32_t take(std::uint32_t wanted, time_point now) {
@@ -27,7 +27,7 @@
     time_point next_available() const {
         const double missing = std::max(0.0, 1 - tokens_);
         const std::chrono::duration<double> wait{missing / retries_per_second};
-        return refilled_ + std::chrono::duration_cast<std::chrono::nanoseconds>(wait) +
+        return refilled_at_ + std::chrono::duration_cast<std::chrono::nanoseconds>(wait) +
                std::chrono::microseconds{1};
     }
 
@@ -37,16 +37,16 @@
     static constexpr double retries_per_second = 2;
     // Maximum number of saved retries. Allows short bursts, such as the refused tasks of one agent that has
     // just reached its capacity.
-    static constexpr double reserve = 20;
+    static constexpr double max_tokens = 20;
 
     void refill(time_point now) {
-        const double elapsed = std::chrono::duration<double>{now - refilled_}.count();
-        tokens_ = std::min(tokens_ + std::max(0.0, elapsed) * retries_per_second, reserve);
-        refilled_ = std::max(refilled_, now);
+        const double elapsed = std::chrono::duration<double>{now - refilled_at_}.count();
+        tokens_ = std::min(tokens_ + std::max(0.0, elapsed) * retries_per_second, max_tokens);
+        refilled_at_ = std::max(refilled_at_, now);
     }
 
-    double tokens_ = reserve;
-    time_point refilled_;
+    double tokens_ = max_tokens;
+    time_point refilled_at_;
 };
 
 } // namespace persimmonstile
--- a/coordination/run_planner.cpp
+++ b/coordination/run_planner.cpp
@@ -1,6 +1,6 @@
 #include "coordination/run_planner.h"
 
-#include "coordination/queue_router.h"
+#include "coordination/find_queue.h"
 
 #include <algorithm>
 #include <cstddef>
@@ -30,13 +30,14 @@
 constexpr double longest_task_factor = 1.3;
 
 // Whether a job can end in time, late but still useful, or too late for its caller.
-enum class timeliness : std::uint8_t { in_time, late, none };
+enum class timeliness : std::uint8_t { in_time, late, too_late };
 
 timeliness timeliness_of(const job_target& target, time_point now) {
-    const std::chrono::duration<double, std::milli> longest_chain = longest_task_factor * target.chain;
+    const std::chrono::duration<double, std::milli> longest_chain =
+        longest_task_factor * target.chain_duration;
     if (now + longest_chain <= target.in_time)
         return timeliness::in_time;
-    return now + target.chain <= target.useful ? timeliness::late : timeliness::none;
+    return now + target.chain_duration <= target.useful_until ? timeliness::late : timeliness::too_late;
 }
 
 bool has_label(const agent_view& agent, const std::string& label) {
@@ -78,20 +79,21 @@
     std::vector<candidate> order;
     order.reserve(waiting.size());
     for (ledger_job* job : waiting) {
-        const job_target target = times.target_of(*job, find_queue_named(config, job->record->queue));
+        const job_target target = times.target_of(*job, find_queue_by_name(config, job->record->queue));
         const timeliness value = timeliness_of(target, now);
         // A late job that has started takes precedence over late jobs that have not. Otherwise the work done
         // for it would be lost.
-        const bool is_first = value == timeliness::in_time || (value == timeliness::late && job->has_started);
-        order.push_back(
-            {job, is_first ? timeliness::in_time : value, is_first ? target.in_time : target.useful});
+        const bool has_priority =
+            value == timeliness::in_time || (value == timeliness::late && job->has_started);
+        order.push_back({job, has_priority ? timeliness::in_time : value,
+                         has_priority ? target.in_time : target.useful_until});
     }
     std::sort(order.begin(), order.end(), [](const candidate& left, const candidate& right) {
         return std::tie(left.value, left.due, left.job->id) < std::tie(right.value, right.due, right.job->id);
     });
 
     run_plan result;
-    room_.clear();
+    free_capacity_.clear();
     std::map<std::string, std::vector<agent_view*>> usable;
     std::map<std::string, late_jobs> late;
     for (const candidate& next : order) {
@@ -101,42 +103,42 @@
             found->second = usable_agents(agents, service, config, now);
         const std::vector<agent_view*>& candidates = found->second;
         const std::size_t planned_before = result.runs.size();
-        job_ledger::for_each_placeable_task(
-            *next.job, [&](const task_ref& task, const job_step& step, ledger_task& state) {
-                const double seconds = times.expected_seconds(next.job->record->queue, step.estimate());
-                if (agent_view* agent = choose(*next.job, task, state, seconds, candidates, result.runs)) {
-                    room_[agent->number] -= step.task_needs;
-                    const std::chrono::duration<double> expected{seconds * agent->slowness.value_or(1.0)};
-                    result.runs.push_back(
-                        {task, agent->number, std::chrono::duration_cast<milliseconds>(expected)});
-                }
-            });
+        job_ledger::for_each_placeable_task(*next.job, [&](const task_ref& task, const job_step& step,
+                                                           ledger_task& state) {
+            const double seconds = times.expected_seconds(next.job->record->queue, step.estimate());
+            if (agent_view* agent = choose_agent(*next.job, task, state, seconds, candidates, result.runs)) {
+                free_capacity_[agent->number] -= step.task_needs;
+                const std::chrono::duration<double> expected{seconds * agent->slowness.value_or(1.0)};
+                result.runs.push_back(
+                    {task, agent->number, std::chrono::duration_cast<milliseconds>(expected)});
+            }
+        });
         const std::size_t planned = result.runs.size() - planned_before;
-        if (next.value == timeliness::none && planned == 0)
+        if (next.value == timeliness::too_late && planned == 0)
             result.cannot_finish.push_back(next.job->id);
-        late_jobs& of_service = late[service];
+        late_jobs& late_jobs_of_service = late[service];
         if (next.value != timeliness::late)
-            of_service.other_starts += planned;
+            late_jobs_of_service.other_starts += planned;
         else if (planned > 0)
-            of_service.has_late_start = true;
+            late_jobs_of_service.has_late_start = true;
         else if (!next.job->is_durable())
-            of_service.without_room.push_back(next.job->id);
+            late_jobs_of_service.unplaced_jobs.push_back(next.job->id);
     }
     for (const auto& [service, jobs] : late)
-        refuse_late(jobs, patience_[service], result, now);
+        refuse_late_jobs(jobs, late_job_policies_[service], result, now);
     return result;
 }
 
 // Refuses the late jobs of a service if all capacity keeps going to other jobs.
-void run_planner::refuse_late(const late_jobs& jobs, late_job_policy& patience, run_plan& result,
-                              time_point now) {
+void run_planner::refuse_late_jobs(const late_jobs& jobs, late_job_policy& policy, run_plan& result,
+                                   time_point now) {
     if (jobs.has_late_start)
-        patience.record_placement();
-    else if (!jobs.without_room.empty())
-        patience.record_passed_over(jobs.other_starts, now);
-    if (patience.should_refuse(now))
-        result.late_without_capacity.insert(result.late_without_capacity.end(), jobs.without_room.begin(),
-                                            jobs.without_room.end());
+        policy.record_placement();
+    else if (!jobs.unplaced_jobs.empty())
+        policy.record_passed_over(jobs.other_starts, now);
+    if (policy.should_refuse(now))
+        result.late_without_capacity.insert(result.late_without_capacity.end(), jobs.unplaced_jobs.begin(),
+                                            jobs.unplaced_jobs.end());
 }
 
 // Returns the agents that may get a run now and stores their free capacity. Suspect agents are left out
@@ -151,7 +153,7 @@
         all.push_back(&agent);
         if (!agent.profile.is_suspect)
             healthy.push_back(&agent);
-        room_[number] = agent.free();
+        free_capacity_[number] = agent.free();
     }
     return 2 * healthy.size() >= all.size() ? healthy : all;
 }
@@ -159,22 +161,22 @@
 // Fraction of a backend server's processors in use, including the runs planned so far.
 double run_planner::utilization(const agent_view& agent) const {
     const auto all = static_cast<double>(agent.profile.backend.capacity.cpu_millicores);
-    const auto free = static_cast<double>(room_.at(agent.number).cpu_millicores);
+    const auto free = static_cast<double>(free_capacity_.at(agent.number).cpu_millicores);
     return all > 0 ? 1 - free / all : 1;
 }
 
 // Returns the backend server with enough capacity and the lowest cost, or null if there is none.
-agent_view* run_planner::choose(const ledger_job& job, const task_ref& task, const ledger_task& state,
-                                double seconds, const std::vector<agent_view*>& usable,
-                                const std::vector<planned_run>& planned) {
+agent_view* run_planner::choose_agent(const ledger_job& job, const task_ref& task, const ledger_task& state,
+                                      double seconds, const std::vector<agent_view*>& usable,
+                                      const std::vector<planned_run>& planned) {
     const job_step& step = job.step(task.step);
     std::uniform_real_distribution<double> jitter{1.0, 1.0 + cost_jitter};
     agent_view* best = nullptr;
     double best_cost = 0;
     for (agent_view* agent : usable) {
-        if (!step.task_needs.fits_in(room_[agent->number]))
+        if (!step.task_needs.fits_in(free_capacity_[agent->number]))
             continue;
-        if (job.is_durable() && !is_usable_for_kept(*agent))
+        if (job.is_durable() && !is_usable_for_durable(*agent))
             continue;
         if (!step.required_label.empty() && !has_label(*agent, step.required_label))
             continue;
--- a/coordination/run_planner.h
+++ b/coordination/run_planner.h
@@ -53,7 +53,7 @@
                           const deployment_config& config, time_point now);
     // Whether the agent may get runs of durable jobs. A successor of this entry must be able to find such
     // runs.
-    static bool is_usable_for_kept(const agent_view& agent) {
+    static bool is_usable_for_durable(const agent_view& agent) {
         return agent.is_session_introduced && agent.is_recorded;
     }
 
@@ -61,18 +61,19 @@
     // What one planning pass did for the late jobs of a service that have not started.
     struct late_jobs {
         // Best-effort jobs for which no task was placed.
-        std::vector<job_id> without_room;
+        std::vector<job_id> unplaced_jobs;
         bool has_late_start = false;
         // Runs planned for all other jobs of the service.
         std::size_t other_starts = 0;
     };
 
-    static void refuse_late(const late_jobs& jobs, late_job_policy& patience, run_plan& result,
-                            time_point now);
+    static void refuse_late_jobs(const late_jobs& jobs, late_job_policy& policy, run_plan& result,
+                                 time_point now);
     std::vector<agent_view*> usable_agents(agent_directory& agents, const std::string& service,
                                            const deployment_config& config, time_point now);
-    agent_view* choose(const ledger_job& job, const task_ref& task, const ledger_task& state, double seconds,
-                       const std::vector<agent_view*>& usable, const std::vector<planned_run>& planned);
+    agent_view* choose_agent(const ledger_job& job, const task_ref& task, const ledger_task& state,
+                             double seconds, const std::vector<agent_view*>& usable,
+                             const std::vector<planned_run>& planned);
 
     double utilization(const agent_view& agent) const;
 
@@ -80,9 +81,9 @@
     double remote_data_factor_;
     std::mt19937_64 random_;
     // Free capacity of the usable agents during a planning pass.
-    std::map<agent_number, resources> room_;
+    std::map<agent_number, resources> free_capacity_;
     // Decides for each service when its late jobs are refused.
-    std::map<std::string, late_job_policy> patience_;
+    std::map<std::string, late_job_policy> late_job_policies_;
 };
 
 } // namespace persimmonstile
--- a/coordination/run_time_model.cpp
+++ b/coordination/run_time_model.cpp
@@ -25,26 +25,27 @@
     const double measured = std::chrono::duration<double>{run_time}.count();
     if (measured <= 0 || slowness <= 0)
         return;
-    ratios_[queue].observe(measured / slowness / expected, 1.0);
+    run_time_ratios_[queue].observe(measured / slowness / expected, 1.0);
 }
 
 double run_time_model::expected_seconds(const std::string& queue, milliseconds estimate) const {
-    const double base = estimate.count() > 0 ? seconds_of(estimate) : default_run_seconds;
-    const auto found = ratios_.find(queue);
-    return found == ratios_.end() ? base : base * found->second.value_or(1.0);
+    const double uncorrected_seconds = estimate.count() > 0 ? seconds_of(estimate) : default_run_seconds;
+    const auto found = run_time_ratios_.find(queue);
+    return found == run_time_ratios_.end() ? uncorrected_seconds
+                                           : uncorrected_seconds * found->second.value_or(1.0);
 }
 
 job_target run_time_model::target_of(const ledger_job& job, const queue_policy* queue) const {
-    std::vector<double> ends;
+    std::vector<double> step_ends;
     double longest = 0;
     for (const job_step& step : job.record->plan.steps) {
         double begin = 0;
         for (const std::uint32_t earlier : step.after) {
-            if (earlier < ends.size())
-                begin = std::max(begin, ends[earlier]);
+            if (earlier < step_ends.size())
+                begin = std::max(begin, step_ends[earlier]);
         }
-        ends.push_back(begin + expected_seconds(job.record->queue, step.estimate()));
-        longest = std::max(longest, ends.back());
+        step_ends.push_back(begin + expected_seconds(job.record->queue, step.estimate()));
+        longest = std::max(longest, step_ends.back());
     }
     const double stretch = queue != nullptr ? queue->stretch : 1.0;
     const milliseconds slack = queue != nullptr ? queue->slack : milliseconds{0};
@@ -52,9 +53,9 @@
         std::chrono::duration_cast<boot_clock::duration>(std::chrono::duration<double>{stretch * longest}) +
         slack;
     job_target target;
-    target.chain = std::chrono::duration_cast<milliseconds>(std::chrono::duration<double>{longest});
+    target.chain_duration = std::chrono::duration_cast<milliseconds>(std::chrono::duration<double>{longest});
     target.in_time = job.accepted + objective;
-    target.useful = std::min<time_point>(job.accepted + max_useful_multiple * objective, job.answer_by);
+    target.useful_until = std::min<time_point>(job.accepted + max_useful_multiple * objective, job.answer_by);
     return target;
 }
 
--- a/coordination/run_time_model.h
+++ b/coordination/run_time_model.h
@@ -26,7 +26,7 @@
 
 private:
     // Ratio of the run time on a typical backend server to the caller's estimate, by queue.
-    std::unordered_map<std::string, speed_estimate> ratios_;
+    std::unordered_map<std::string, speed_estimate> run_time_ratios_;
 };
 
 } // namespace persimmonstile
--- a/coordination/scheduler.h
+++ b/coordination/scheduler.h
@@ -1,10 +1,10 @@
 #pragma once
 
 #include "coordination/admission.h"
-#include "coordination/admission_retry_budget.h"
 #include "coordination/assignment.h"
 #include "coordination/placement_least_completion.h"
 #include "coordination/placement_policy.h"
+#include "coordination/retry_budget.h"
 #include "coordination/scheduler_agent.h"
 #include "coordination/scheduler_job.h"
 #include "coordination/scheduler_service.h"
@@ -109,56 +109,57 @@
     std::uint32_t team_number(const std::string& name);
     void apply_team_policy(const std::string& name, scheduler_team& team);
 
-    static std::uint8_t task_class(service_state& service, const std::string& method);
-    service_presence presence_of(const std::string& service) const;
-    static double mean_or_initial(const service_state& service);
-    static double true_rate(const service_state& service);
-    static bool is_hopeless(const service_state& service, const scheduler_job& record, time_point now);
+    static std::uint8_t task_class_number(service_state& service, const std::string& method);
+    service_availability availability_of(const std::string& service) const;
+    static double mean_run_seconds_or_initial(const service_state& service);
+    static double mean_completion_rate(const service_state& service);
+    static bool cannot_meet_deadline(const service_state& service, const scheduler_job& record,
+                                     time_point now);
     admission_load load_for(const job_spec& spec) const;
     std::optional<job_failed> check_capacity(const job_spec& spec, time_point deadline, time_point now);
 
     scheduler_job& job_record(const job_id& job, const job_spec& spec, time_point deadline, time_point now);
     // job must be the key of the job in job_numbers_, because the record points to it.
     std::uint32_t add_job(const job_id& job, const job_spec& spec);
-    void change_waiting(const scheduler_job& record, std::int64_t difference);
+    void change_waiting_count(const scheduler_job& record, std::int64_t difference);
     void enqueue(std::uint32_t number);
     void dequeue(std::uint32_t number);
-    void release_if_done(std::uint32_t number);
-    void release_held(time_point now);
+    void remove_job_if_done(std::uint32_t number);
+    void queue_held_tasks(time_point now);
     void requeue_deferred(time_point now);
 
     void set_team_running(std::uint32_t team, std::uint32_t running);
-    std::optional<std::uint32_t> backend_of(const scheduler_agent& agent, std::uint32_t service) const;
+    std::optional<std::uint32_t> find_backend(const scheduler_agent& agent, std::uint32_t service) const;
     std::uint32_t add_backend(std::uint32_t agent, std::uint32_t service);
     std::uint32_t own_slots(std::uint32_t slots) const;
     double run_seconds(const service_state& service, const scheduler_backend& backend) const;
-    void refresh(std::uint32_t service, std::uint32_t number, time_point now);
+    void update_backend(std::uint32_t service, std::uint32_t number, time_point now);
     void eject_if_silent(std::uint32_t service, std::uint32_t number, time_point now);
     double estimate_other_load(const service_state& service, const scheduler_backend& backend,
                                time_point now) const;
-    std::optional<placement_load> offer(std::uint32_t service, std::uint32_t number, double others,
-                                        time_point now);
-    void refresh_agent(const scheduler_agent& agent, time_point now);
+    std::optional<placement_load> load_if_available(std::uint32_t service, std::uint32_t number,
+                                                    double others, time_point now);
+    void update_backends_of_agent(const scheduler_agent& agent, time_point now);
     void update_sums(std::uint32_t service, std::uint32_t number, double others);
     double silence_timeout(const scheduler_backend& backend) const;
-    static bool may_eject(const service_state& service);
+    static bool can_eject(const service_state& service);
     static bool is_ejection_enforced(const service_state& service);
-    void wake_at(std::uint32_t service, std::uint32_t number, time_point time);
+    void schedule_wakeup(std::uint32_t service, std::uint32_t number, time_point time);
     void run_wakeups(time_point now);
     void assign_waiting(std::uint32_t service, pending_assignments& result, time_point now);
     void assign(std::uint32_t service, std::uint32_t backend, const fair_queue::selection& selected,
                 pending_assignments& result, time_point now);
-    void learn(service_state& service, scheduler_backend& backend, scheduler_job& record,
-               const task_report& report, time_point now);
-    static void learn_success(service_state& service, scheduler_backend& backend, scheduler_task_class& kind,
-                              double run, time_point now);
-    static void learn_failure(service_state& service, scheduler_backend& backend, std::uint32_t job,
-                              time_point now);
-    static void learn_refusal(scheduler_backend& backend, scheduler_job& record, refusal reason,
-                              time_point now);
+    void record_result(service_state& service, scheduler_backend& backend, scheduler_job& record,
+                       const task_report& report, time_point now);
+    static void record_success(service_state& service, scheduler_backend& backend, scheduler_task_class& kind,
+                               double task_seconds, time_point now);
+    static void record_failure(service_state& service, scheduler_backend& backend, std::uint32_t job,
+                               time_point now);
+    static void record_refusal(scheduler_backend& backend, scheduler_job& record, refusal reason,
+                               time_point now);
 
     std::shared_ptr<const fleet_view> fleet_;
-    std::uint32_t entries_ = 1;
+    std::uint32_t entry_count_ = 1;
     std::mt19937_64 random_;
 
     std::unordered_map<std::string, std::uint32_t> service_numbers_;
@@ -168,15 +169,15 @@
 
     std::unordered_map<job_id, std::uint32_t> job_numbers_;
     std::vector<scheduler_job> jobs_;
-    std::vector<std::uint32_t> free_jobs_;
+    std::vector<std::uint32_t> free_job_numbers_;
 
     std::unordered_map<incarnation, std::uint32_t, incarnation_hash> agent_numbers_;
     std::vector<scheduler_agent> agents_;
-    std::vector<std::uint32_t> free_agents_;
+    std::vector<std::uint32_t> free_agent_numbers_;
 
     std::priority_queue<wakeup, std::vector<wakeup>, std::greater<>> wakeups_;
     std::size_t waiting_count_ = 0;
-    admission_retry_budget retry_budget_;
+    retry_budget retry_budget_;
     // Jobs that cannot end in time at the present rate, with the time of the next check.
     std::deque<std::pair<job_id, time_point>> deferred_jobs_;
     // Jobs with tasks that wait for the retry budget, oldest first.
--- a/coordination/scheduler_agent.h
+++ b/coordination/scheduler_agent.h
@@ -13,13 +13,13 @@
 struct scheduler_agent {
     incarnation id;
     std::string zone;
-    bool connected = false;
+    bool is_connected = false;
     bool draining = false;
     bool zone_out = false;
     // Service number, and number of the backend server within that service.
     std::vector<std::pair<std::uint32_t, std::uint32_t>> backends;
 
-    bool takes_tasks() const { return connected && !draining && !zone_out; }
+    bool accepts_tasks() const { return is_connected && !draining && !zone_out; }
 };
 
 } // namespace persimmonstile
--- a/coordination/scheduler_backend.h
+++ b/coordination/scheduler_backend.h
@@ -16,7 +16,7 @@
     std::uint32_t job = 0;
     task_index index = 0;
     // Run time charged to the team, in seconds.
-    float charged = 0;
+    float charged_seconds = 0;
     time_point sent;
 };
 
@@ -31,12 +31,12 @@
     ejection health;
     // Time of the last return of a started task, or of an assignment to the idle backend server if that is
     // later.
-    time_point quiet_since;
+    time_point silent_since;
     // Job number of the last failure plus 1; 0 if there was no failure.
     std::uint32_t last_failed_job = 0;
     // Tasks of other entries according to the last report, and the time of that report.
     double others = 0;
-    time_point others_at;
+    time_point others_reported_at;
     // The earliest pending wakeup.
     std::optional<time_point> wakeup;
     // This backend server's contribution to the counts and sums of its service.
--- a/coordination/scheduler_job.h
+++ b/coordination/scheduler_job.h
@@ -17,11 +17,11 @@
     std::uint32_t team = 0;
     bool is_request = false;
     // The job has ended; the record remains until its assigned tasks have returned.
-    bool withdrawn = false;
+    bool is_withdrawn = false;
     // The job is in the fair queue.
     bool queued = false;
     std::uint8_t size_class = 0;
-    std::uint8_t task_class = 0;
+    std::uint8_t task_class_number = 0;
     time_point deadline;
     // Sort key within the team, see fair_queue.
     double order = 0;
@@ -39,8 +39,8 @@
     std::vector<task_index> held;
 
     // Number of tasks that may be assigned now. Waiting tasks include those held by the retry budget.
-    std::size_t ready() const { return end - next + returned.size(); }
-    std::size_t waiting() const { return ready() + held.size(); }
+    std::size_t ready_count() const { return end - next + returned.size(); }
+    std::size_t waiting_count() const { return ready_count() + held.size(); }
 
     // Removes a task that may be assigned now; there must be one. Tasks that were queued again go first.
     task_index take() {
--- a/coordination/scheduler_service.h
+++ b/coordination/scheduler_service.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "coordination/admission_job_mix.h"
 #include "coordination/fair_queue.h"
+#include "coordination/job_size_distribution.h"
 #include "coordination/scheduler_backend.h"
 #include "coordination/scheduler_task_class.h"
 #include "coordination/speed_estimate.h"
@@ -20,20 +20,20 @@
     std::string name;
     policy placement;
     std::vector<scheduler_backend> backends;
-    std::vector<std::uint32_t> free_backends;
+    std::vector<std::uint32_t> free_backend_numbers;
     fair_queue queue;
-    std::size_t waiting = 0;
+    std::size_t waiting_count = 0;
     std::size_t in_flight = 0;
     // Mean fraction of this entry's capacity that is in use when a job arrives.
-    double busy = 0;
+    double utilization = 0;
     // Sizes of the admitted jobs.
-    admission_job_mix mix;
+    job_size_distribution job_sizes;
     // By class number; class 0 is that of jobs.
     std::vector<scheduler_task_class> task_classes{1};
     std::unordered_map<std::string, std::uint8_t> class_by_method;
     // Typical and mean run time in seconds over all classes.
-    speed_estimate typical{256};
-    double mean_seconds = 0;
+    speed_estimate typical_run_seconds{256};
+    double mean_run_seconds = 0;
     // Number of backend servers that accept tasks, and how many of them are ejected.
     std::size_t serving = 0;
     std::size_t ejected = 0;
@@ -42,7 +42,7 @@
     // The same rate with this entry's part of the slots only.
     double own_slots_rate = 0;
     // Sum of the failure ratios of the serving backend servers that are not ejected.
-    double failure_sum = 0;
+    double failure_ratio_sum = 0;
     // True if any backend server has ever offered the service.
     bool was_served = false;
 };
--- a/coordination/scheduler_team.h
+++ b/coordination/scheduler_team.h
@@ -12,7 +12,7 @@
     std::uint32_t max_running = 0;
     std::uint32_t running = 0;
     // Whether the queues of the services currently skip the team.
-    bool blocked = false;
+    bool is_blocked_in_queues = false;
     // Services whose queue has contained jobs of the team.
     std::vector<std::uint32_t> services;
 
--- a/daemon/job_engine.cpp
+++ b/daemon/job_engine.cpp
@@ -46,7 +46,7 @@
 
 void job_engine::perform(const job_actions& actions, const task_reports* reports) {
     metrics_.wasted_messages.add(message_kind::task_reports, actions.stray_reports);
-    for (const task_send& send : actions.sends) {
+    for (const task_message_to_agent& send : actions.sends) {
         metrics_.messages.add(kind_of(send.message));
         agents_.send(send.to, send.message);
     }
--- a/protocol/recorded_event_json.cpp
+++ b/protocol/recorded_event_json.cpp
@@ -56,7 +56,7 @@
 
 std::string digest_of(const job_actions& actions) {
     nlohmann::json json;
-    for (const task_send& send : actions.sends)
+    for (const task_message_to_agent& send : actions.sends)
         json["sends"].push_back({to_member_json(send.to), to_member_json(send.message)});
     for (const caller_answer& answer : actions.answers)
         json["answers"].push_back({answer.token, answer.job, to_member_json(answer.reply)});
--- a/tests/job_simulation.h
+++ b/tests/job_simulation.h
@@ -385,7 +385,7 @@
 
     void perform(std::size_t owner_index, const job_actions& actions) {
         owner& acting = *owners_[owner_index];
-        for (const task_send& send : actions.sends)
+        for (const task_message_to_agent& send : actions.sends)
             send_to_agent(owner_index, send);
         for (const caller_answer& answer : actions.answers)
             answered(owner_index, answer);
@@ -413,7 +413,7 @@
                                    wall()));
     }
 
-    void send_to_agent(std::size_t owner_index, const task_send& send) {
+    void send_to_agent(std::size_t owner_index, const task_message_to_agent& send) {
         for (auto& [i, target] : agents_) {
             if (target.id == send.to)
                 deliver(owner_index, i, [this, owner_index, i = i, send] {
