--- a/coordination/agent_actions.h
+++ b/coordination/agent_actions.h
@@ -27,15 +27,15 @@
 };
 
 // A task message with the entry that it is sent to.
-struct entry_send {
+struct task_message_to_entry {
     incarnation to;
     task_message message;
 };
 
-// The calls to the backend server and the messages to entries that an event in agent_tasks leads to.
+// The calls to the backend server and the messages to entries that an event in agent_task_table leads to.
 struct agent_actions {
     std::vector<backend_call> calls;
-    std::vector<entry_send> sends;
+    std::vector<task_message_to_entry> sends;
     // Entry from which a newer configuration or owner table must be fetched. The name is empty if none is
     // needed.
     incarnation fetch_from;
--- a/coordination/agent_core.h
+++ b/coordination/agent_core.h
@@ -59,7 +59,7 @@
     bool take_address_change() { return std::exchange(has_new_addresses_, false); }
     const std::string& backend_id() const { return backend_.id; }
     std::uint64_t backend_life() const { return backend_.life; }
-    std::uint64_t fencing_token() const { return token_; }
+    std::uint64_t fencing_token() const { return fencing_token_; }
     std::size_t connected_entries() const { return links_.size(); }
     std::size_t active_runs() const { return runs_.active_count(); }
     std::size_t queued_runs() const { return queue_.size(); }
@@ -72,8 +72,8 @@
         std::vector<std::string> entry_addresses;
         std::uint64_t received_starts = 0;
         // The free capacity last reported to this entry, and when it was sent.
-        agent_free_capacity sent_room;
-        time_point room_sent_at{};
+        agent_free_capacity sent_capacity;
+        time_point capacity_sent_at{};
         std::vector<run_report> reports;
         // At least one report must be sent at once instead of with the next message about free capacity.
         bool has_urgent_report = false;
@@ -105,47 +105,48 @@
     template <typename Other> void receive(link_number, const Other&, time_point) {}
 
     // Answers of the backend server.
-    void start_replied(const sent_order& sent, const backend_reply& reply, time_point now);
-    void stop_replied(const sent_order& sent, const backend_reply& reply, time_point now);
-    void hold_replied(const sent_order& sent, const backend_reply& reply, bool is_raise, time_point now);
+    void process_start_reply(const sent_order& sent, const backend_reply& reply, time_point now);
+    void process_stop_reply(const sent_order& sent, const backend_reply& reply, time_point now);
+    void process_hold_reply(const sent_order& sent, const backend_reply& reply, bool is_raise,
+                            time_point now);
     void process_lists(const sent_order& hold, const backend_reply& reply, time_point now);
-    void process_end(const listed_end& end, time_point now);
-    void process_running(const listed_run& listed, std::int64_t clock_ms, time_point now);
+    void process_listed_end(const listed_end& end, time_point now);
+    void process_listed_run(const listed_run& listed, std::int64_t clock_ms, time_point now);
     bool is_stalled(const run_record& record, const listed_run& listed, std::int64_t clock_ms) const;
     void resolve_unanswered_starts(const sent_order& hold, const std::set<run_ref>& listed, time_point now);
     void end_missing_runs(const sent_order& hold, const std::set<run_ref>& listed, time_point now);
 
     // Orders to the backend server.
-    std::uint64_t send(std::variant<start_order, stop_order, hold_order> action, milliseconds timeout,
-                       time_point now);
+    std::uint64_t send_order(std::variant<start_order, stop_order, hold_order> action, milliseconds timeout,
+                             time_point now);
     bool has_unclaimed_runs();
     void start_queued(time_point now);
-    void order_start(run_record& record, time_point now);
-    void order_stop(run_record& record, time_point now);
-    void order_hold(time_point now);
+    void send_start_order(run_record& record, time_point now);
+    void send_stop_order(run_record& record, time_point now);
+    void send_hold_order(time_point now);
     void raise_token(time_point now);
-    bool renews_lease(time_point now) const;
+    bool should_renew_lease(time_point now) const;
     bool needs_hold() const;
     std::uint64_t end_to_acknowledge(time_point now) const;
     bool is_hold_due(time_point now) const;
 
-    void begin_life(const std::string& id, std::uint64_t life, time_point now);
-    void lose_backend(run_refusal reason, bool keeps_unanswered_starts, time_point now);
+    void begin_backend_life(const std::string& id, std::uint64_t life, time_point now);
+    void process_backend_loss(run_refusal reason, bool keeps_unanswered_starts, time_point now);
     void complete_synchronization(time_point now);
     void publish_inventories(time_point now);
     void offer_orphans(time_point now);
     void send_inventories(link_number link, time_point now);
     void end_run(run_record& record, run_state state, run_refusal reason, time_point now);
     void request_stop(run_record& record, run_refusal reason, time_point now);
-    void refuse(const run_ref& run, link_number link, run_refusal reason);
+    void report_refusal(const run_ref& run, link_number link, run_refusal reason);
     void refuse_queued(run_refusal reason, time_point now);
     std::optional<run_refusal> refusal_reason() const;
-    bool is_present(const incarnation& owner, bool is_durable, time_point now) const;
-    void check_owners(time_point now);
-    void check_waits(time_point now);
+    bool is_owner_present(const incarnation& owner, bool is_durable, time_point now) const;
+    void check_owner_contact(time_point now);
+    void check_timeouts(time_point now);
 
     // Messages to entries.
-    run_report report_of(const run_record& record, time_point now) const;
+    run_report make_report(const run_record& record, time_point now) const;
     void report(const run_record& record, time_point now);
     void add_report(link_state& state, run_report report);
     void record_pong(link_number link, const owner_pong& pong);
@@ -154,8 +155,8 @@
     void send_inventory(link_number link, const incarnation& owner, time_point now);
     void send_profile_if_changed(time_point now);
     agent_profile profile(time_point now) const;
-    resources free_room(time_point now) const;
-    agent_free_capacity room_for(const link_state& link, time_point now) const;
+    resources free_capacity(time_point now) const;
+    agent_free_capacity free_capacity_for(const link_state& link, time_point now) const;
     void record_outcome(const run_record& record, time_point now);
     void flush_reports(time_point now);
     bool has_unsent_updates(const link_state& link, time_point now) const;
@@ -163,8 +164,9 @@
     void send_reports(link_number link, link_state& state, time_point now);
     bool is_zone_out() const;
 
-    void note(std::string_view what, const job_id& job,
-              std::vector<std::pair<std::string_view, decision::value>> inputs, bool is_warning = false);
+    void record_decision(std::string_view what, const job_id& job,
+                         std::vector<std::pair<std::string_view, decision::value>> inputs,
+                         bool is_warning = false);
 
     incarnation self_;
     std::string zone_;
@@ -175,19 +177,19 @@
     // The backend server. The id is empty while none is known.
     backend_profile backend_;
     // The backend server has announced its capacity in this life.
-    bool is_profiled_ = false;
+    bool has_profile_ = false;
     std::uint64_t last_sequence_ = 0;
-    backend_clock clock_;
-    backend_health health_;
-    std::uint64_t token_ = 0;
+    backend_clock backend_clock_;
+    backend_health backend_health_;
+    std::uint64_t fencing_token_ = 0;
     // All orders with older tokens are fenced and the lists were read since, so every started run is known.
     bool is_synchronized_ = false;
     // Several hold orders in a row failed, so the lease is no longer renewed and new runs are refused.
-    bool is_silent_ = false;
+    bool is_unresponsive_ = false;
     // The inventories were sent, so owners may conclude that a run that is not listed does not exist.
     bool are_inventories_published_ = false;
     bool is_shutting_down_ = false;
-    end_acknowledger ends_;
+    end_acknowledger end_acknowledger_;
     // Send time of the latest order that this life answered.
     time_point last_reply_{};
     // Highest end number whose acknowledgement the backend server has confirmed.
@@ -195,20 +197,20 @@
     // Runs that this agent reported as ended before the backend server listed their end.
     std::set<run_ref> abandoned_runs_;
     // Time by which all leases that were requested so far have expired.
-    time_point lease_bound_{};
+    time_point all_leases_expired_at_{};
 
     run_table runs_;
     std::deque<run_ref> queue_;
     std::size_t starts_in_flight_ = 0;
 
-    std::uint64_t last_order_ = 0;
-    std::map<std::uint64_t, sent_order> sent_;
+    std::uint64_t last_order_id_ = 0;
+    std::map<std::uint64_t, sent_order> orders_in_flight_;
     // Ids of the regular hold order and of the one that raises the token; 0 if none is in flight.
-    std::uint64_t hold_ = 0;
-    std::uint64_t raise_ = 0;
+    std::uint64_t hold_order_id_ = 0;
+    std::uint64_t raise_order_id_ = 0;
     time_point next_hold_{};
     time_point next_raise_{};
-    bool is_raise_wanted_ = false;
+    bool is_raise_needed_ = false;
     // Highest end number that was listed.
     std::uint64_t last_listed_end_ = 0;
     // Number of consecutive hold orders without an answer.
@@ -220,11 +222,11 @@
     bool has_new_addresses_ = true;
     std::map<incarnation, owner_state> owners_;
     // Successors of the deposed owners.
-    std::map<incarnation, incarnation> deposed_;
+    std::map<incarnation, incarnation> deposed_owners_;
     // Availability zones that are out of service, and the version of this set.
     std::set<std::string> zones_out_;
     std::uint64_t zones_version_ = 0;
-    time_point last_offer_{};
+    time_point last_orphan_offer_{};
     agent_profile sent_profile_;
 };
 
--- a/coordination/agent_directory.cpp
+++ b/coordination/agent_directory.cpp
@@ -2,7 +2,7 @@
 
 namespace persimmonstile {
 
-agent_view& agent_directory::by_name(const std::string& name) {
+agent_view& agent_directory::find_or_add(const std::string& name) {
     const auto known = numbers_.find(name);
     if (known != numbers_.end())
         return agents_.at(known->second);
@@ -13,30 +13,30 @@
     return added;
 }
 
-agent_view* agent_directory::by_link(link_number link) {
+agent_view* agent_directory::find_by_link(link_number link) {
     const auto found = links_.find(link);
-    return found == links_.end() ? nullptr : by_number(found->second);
+    return found == links_.end() ? nullptr : find_by_number(found->second);
 }
 
-agent_view* agent_directory::by_number(agent_number number) {
+agent_view* agent_directory::find_by_number(agent_number number) {
     const auto found = agents_.find(number);
     return found == agents_.end() ? nullptr : &found->second;
 }
 
 link_number agent_directory::connect(agent_view& agent, link_number link) {
-    const link_number before = agent.link;
-    if (before != 0)
-        links_.erase(before);
+    const link_number previous_link = agent.link;
+    if (previous_link != 0)
+        links_.erase(previous_link);
     agent.link = link;
     agent.is_introduced = false;
     agent.is_session_introduced = false;
-    agent.starts_sent = 0;
+    agent.sent_starts = 0;
     agent.last_reading_ns = 0;
     for (auto& [run, start] : agent.runs)
         start = 0;
     agent.unacknowledged_starts.clear();
     links_[link] = agent.number;
-    return before == link ? 0 : before;
+    return previous_link == link ? 0 : previous_link;
 }
 
 void agent_directory::disconnect(agent_view& agent) {
--- a/coordination/agent_directory.h
+++ b/coordination/agent_directory.h
@@ -15,9 +15,9 @@
 class agent_directory {
 public:
     // Returns the view of the agent with this name; creates it if there is none.
-    agent_view& by_name(const std::string& name);
-    agent_view* by_link(link_number link);
-    agent_view* by_number(agent_number number);
+    agent_view& find_or_add(const std::string& name);
+    agent_view* find_by_link(link_number link);
+    agent_view* find_by_number(agent_number number);
 
     // Assigns the link to the agent and clears what was known about the previous connection. Returns the
     // agent's previous link if it differs, otherwise 0.
--- a/coordination/agent_limits.h
+++ b/coordination/agent_limits.h
@@ -18,7 +18,7 @@
     milliseconds requested_lease() const { return max_lease + milliseconds{20}; }
     // Time after which a lease that is requested now has expired in any case. It allows for clock rates that
     // differ by up to 2% and for the time that the order is in flight.
-    milliseconds lease_bound() const {
+    milliseconds max_lease_lifetime() const {
         constexpr milliseconds margin{30};
         return requested_lease() + requested_lease() / 50 + margin;
     }
@@ -27,7 +27,7 @@
     // Maximum time for which a backend server holds back its answer to a hold order. If the answer is lost,
     // the agent learns of ended runs this much later, about a third of the objective of the shortest tasks
     // (156 ms).
-    milliseconds hold_wait{60};
+    milliseconds max_hold_wait{60};
     // Bounds of the timeout of an order. The timeout is estimated from past answers: a backend server on the
     // same machine answers within a millisecond, but a slow agent reads the answer much later. A timeout that
     // is too short costs one more order, which raises the fencing token.
@@ -39,7 +39,7 @@
     // Ends are acknowledged only if the backend server answered an order sent within this time. A backend
     // server that has restarted since would take the numbers for those of its new ends and delete them. A
     // restart takes longer than this time.
-    milliseconds acknowledgement_age{400};
+    milliseconds max_reply_age_to_acknowledge{400};
     // Retry delay for a backend server that does not answer.
     milliseconds retry_delay{100};
     // Maximum number of start orders in flight. Each of them needs its own connection.
@@ -52,16 +52,17 @@
     // more frequent messages all entries would compete for every slot that becomes free. The time grows with
     // the number of entries, because otherwise an agent with many entries would spend more time on messages
     // than on its runs.
-    milliseconds min_room_interval{60};
-    milliseconds room_interval_per_entry{10};
-    milliseconds room_interval(std::size_t entries) const {
-        return std::max(min_room_interval, room_interval_per_entry * static_cast<std::int64_t>(entries));
+    milliseconds min_capacity_report_interval{60};
+    milliseconds capacity_report_interval_per_entry{10};
+    milliseconds capacity_report_interval(std::size_t entries) const {
+        return std::max(min_capacity_report_interval,
+                        capacity_report_interval_per_entry * static_cast<std::int64_t>(entries));
     }
     // The agent pings an entry that has not echoed a clock reading for this time.
     milliseconds ping_interval{300};
     // Interval at which runs without a known owner are offered to all entries. An entry may have adopted
     // their jobs since the last offer.
-    milliseconds offer_interval{1000};
+    milliseconds orphan_offer_interval{1000};
     // If the owner of an ended run has been unreachable for this time, the end is offered to all entries,
     // because the owner's successor may never have connected to this agent.
     milliseconds owner_absence_timeout{6000};
--- a/coordination/agent_links.cpp
+++ b/coordination/agent_links.cpp
@@ -53,7 +53,7 @@
         const bool was_out = is_zone_out();
         zones_out_ = {welcome.zones_out.begin(), welcome.zones_out.end()};
         if (!was_out && is_zone_out()) {
-            note("availability zone is out of service", {}, {{"zone", zone_}});
+            record_decision("availability zone is out of service", {}, {{"zone", zone_}});
             refuse_queued(run_refusal::zone_out, now);
         }
     }
@@ -98,9 +98,9 @@
     ++links_[link].received_starts;
     record_pong(link, message.pong);
     std::optional<run_refusal> refusal = refusal_reason();
-    if (deposed_.contains(message.owner))
+    if (deposed_owners_.contains(message.owner))
         refusal = run_refusal::owner_deposed;
-    else if (!is_present(message.owner, message.is_durable, now))
+    else if (!is_owner_present(message.owner, message.is_durable, now))
         refusal = run_refusal::owner_silent;
     const auto payload = std::make_shared<const std::string>(message.payload);
     for (const run_spec& start : message.runs) {
@@ -110,7 +110,7 @@
             continue;
         }
         if (refusal) {
-            refuse(run, link, *refusal);
+            report_refusal(run, link, *refusal);
             continue;
         }
         run_record record;
@@ -131,12 +131,12 @@
 }
 
 void agent_core::receive(link_number link, const run_stop_request& message, time_point now) {
-    if (deposed_.contains(message.owner))
+    if (deposed_owners_.contains(message.owner))
         return;
     for (const run_ref& run : message.runs) {
         run_record* record = runs_.find(run);
         if (record == nullptr)
-            refuse(run, link, run_refusal::withdrawn);
+            report_refusal(run, link, run_refusal::withdrawn);
         else if (is_final(record->state))
             report(*record, now);
         else
@@ -149,21 +149,21 @@
         return;
     std::set<std::uint64_t> numbers{message.end_numbers.begin(), message.end_numbers.end()};
     for (const std::uint64_t number : numbers)
-        ends_.recorded(number);
-    std::vector<run_ref> settled;
+        end_acknowledger_.mark_recorded(number);
+    std::vector<run_ref> recorded_runs;
     runs_.for_each([&](run_record& record) {
         if (is_final(record.state) && numbers.contains(record.end_number))
-            settled.push_back(record.run);
+            recorded_runs.push_back(record.run);
     });
-    for (const run_ref& run : settled)
+    for (const run_ref& run : recorded_runs)
         runs_.erase(run);
 }
 
 void agent_core::receive(link_number link, const owner_succession& message, time_point now) {
-    if (!deposed_.contains(message.former))
-        note("owner was deposed", {},
-             {{"former", message.former.name}, {"successor", message.successor.name}});
-    deposed_[message.former] = message.successor;
+    if (!deposed_owners_.contains(message.former))
+        record_decision("owner was deposed", {},
+                        {{"former", message.former.name}, {"successor", message.successor.name}});
+    deposed_owners_[message.former] = message.successor;
     run_inventory inventory;
     inventory.owner = message.former;
     inventory.received_starts = links_[link].received_starts;
@@ -173,7 +173,7 @@
         if (record.owner == message.former)
             record.owner = message.successor;
         if (record.owner == message.successor)
-            inventory.reports.push_back(report_of(record, now));
+            inventory.reports.push_back(make_report(record, now));
     });
     // Until the backend server's lists are read, an inventory would be incomplete, and the successor would
     // treat runs that are missing in it as not started. Runs without an owner are sent first, because the
@@ -185,7 +185,7 @@
 }
 
 void agent_core::receive(link_number, const run_claim& message, time_point now) {
-    if (deposed_.contains(message.owner))
+    if (deposed_owners_.contains(message.owner))
         return;
     for (const claimed_run& claimed : message.runs) {
         run_record* record = runs_.find(claimed.run);
@@ -205,7 +205,7 @@
     }
 }
 
-run_report agent_core::report_of(const run_record& record, time_point now) const {
+run_report agent_core::make_report(const run_record& record, time_point now) const {
     run_report report;
     report.run = record.run;
     report.state = record.state;
@@ -233,7 +233,7 @@
     const auto owner = owners_.find(record.owner);
     if (owner == owners_.end() || owner->second.link == 0)
         return;
-    add_report(links_[owner->second.link], report_of(record, now));
+    add_report(links_[owner->second.link], make_report(record, now));
 }
 
 // An end is reported at once. A start is reported with the next message, or not at all if the run has ended
@@ -249,9 +249,9 @@
 }
 
 void agent_core::offer_orphans(time_point now) {
-    if (!are_inventories_published_ || now - last_offer_ < limits_.offer_interval)
+    if (!are_inventories_published_ || now - last_orphan_offer_ < limits_.orphan_offer_interval)
         return;
-    last_offer_ = now;
+    last_orphan_offer_ = now;
     for (const auto& [link, state] : links_) {
         if (!state.process.name.empty())
             send_inventory(link, {}, now);
@@ -264,7 +264,7 @@
     inventory.received_starts = links_[link].received_starts;
     runs_.for_each([&](run_record& record) {
         if (record.owner == owner)
-            inventory.reports.push_back(report_of(record, now));
+            inventory.reports.push_back(make_report(record, now));
     });
     if (owner.name.empty() && inventory.reports.empty())
         return;
@@ -276,21 +276,21 @@
 
 // Free capacity that entries may use. After the backend server was avoided, it is reduced until a run
 // succeeds.
-resources agent_core::free_room(time_point now) const {
+resources agent_core::free_capacity(time_point now) const {
     resources free = backend_.capacity - runs_.held();
-    if (health_.is_on_probation(now)) {
-        const resources part{backend_.capacity.cpu_millicores / agent_limits::probation_divisor,
-                             backend_.capacity.memory_mb / agent_limits::probation_divisor,
-                             backend_.capacity.gpus};
-        const resources left = part - runs_.held();
-        free.cpu_millicores = std::min(free.cpu_millicores, left.cpu_millicores);
-        free.memory_mb = std::min(free.memory_mb, left.memory_mb);
+    if (backend_health_.is_on_probation(now)) {
+        const resources probation_capacity{backend_.capacity.cpu_millicores / agent_limits::probation_divisor,
+                                           backend_.capacity.memory_mb / agent_limits::probation_divisor,
+                                           backend_.capacity.gpus};
+        const resources available = probation_capacity - runs_.held();
+        free.cpu_millicores = std::min(free.cpu_millicores, available.cpu_millicores);
+        free.memory_mb = std::min(free.memory_mb, available.memory_mb);
     }
     return free;
 }
 
-agent_free_capacity agent_core::room_for(const link_state& link, time_point now) const {
-    return {free_room(now), runs_.queued(), link.received_starts};
+agent_free_capacity agent_core::free_capacity_for(const link_state& link, time_point now) const {
+    return {free_capacity(now), runs_.queued(), link.received_starts};
 }
 
 agent_profile agent_core::profile(time_point now) const {
@@ -299,14 +299,14 @@
     profile.zone = zone_;
     profile.backend = backend_;
     profile.accepts_runs = !refusal_reason();
-    profile.is_suspect = health_.is_avoided(now);
-    profile.room = {free_room(now), runs_.queued(), 0};
+    profile.is_suspect = backend_health_.is_avoided(now);
+    profile.room = {free_capacity(now), runs_.queued(), 0};
     return profile;
 }
 
 void agent_core::send_profile_if_changed(time_point now) {
     if (sent_profile_.accepts_runs == !refusal_reason() &&
-        sent_profile_.is_suspect == health_.is_avoided(now) && sent_profile_.backend == backend_)
+        sent_profile_.is_suspect == backend_health_.is_avoided(now) && sent_profile_.backend == backend_)
         return;
     agent_profile current = profile(now);
     sent_profile_ = current;
@@ -324,21 +324,21 @@
 }
 
 bool agent_core::has_unsent_updates(const link_state& link, time_point now) const {
-    return !link.reports.empty() || !(room_for(link, now) == link.sent_room);
+    return !link.reports.empty() || !(free_capacity_for(link, now) == link.sent_capacity);
 }
 
 time_point agent_core::next_update(const link_state& link) const {
-    return link.room_sent_at + limits_.room_interval(links_.size());
+    return link.capacity_sent_at + limits_.capacity_report_interval(links_.size());
 }
 
 void agent_core::send_reports(link_number link, link_state& state, time_point now) {
     run_reports message;
     message.reports.swap(state.reports);
     state.has_urgent_report = false;
-    message.room = room_for(state, now);
+    message.room = free_capacity_for(state, now);
     message.sent_ns = now.time_since_epoch().count();
-    state.sent_room = message.room;
-    state.room_sent_at = now;
+    state.sent_capacity = message.room;
+    state.capacity_sent_at = now;
     output_.messages.emplace_back(link, std::move(message));
 }
 
--- a/coordination/agent_orders.cpp
+++ b/coordination/agent_orders.cpp
@@ -16,26 +16,26 @@
 
 } // namespace
 
-std::uint64_t agent_core::send(std::variant<start_order, stop_order, hold_order> action, milliseconds timeout,
-                               time_point now) {
+std::uint64_t agent_core::send_order(std::variant<start_order, stop_order, hold_order> action,
+                                     milliseconds timeout, time_point now) {
     backend_order order;
-    order.id = ++last_order_;
-    order.fencing_token = token_;
+    order.id = ++last_order_id_;
+    order.fencing_token = fencing_token_;
     order.timeout = timeout;
     const auto* hold = std::get_if<hold_order>(&action);
     const bool has_lease = std::holds_alternative<start_order>(action) || (hold != nullptr && hold->renews);
     if (has_lease) {
-        order.lease_until_ms = clock_.at(now) + limits_.requested_lease().count();
-        lease_bound_ = std::max(lease_bound_, now + limits_.lease_bound());
+        order.lease_until_ms = backend_clock_.at(now) + limits_.requested_lease().count();
+        all_leases_expired_at_ = std::max(all_leases_expired_at_, now + limits_.max_lease_lifetime());
     }
     order.action = std::move(action);
-    sent_[order.id] = {order, now};
+    orders_in_flight_[order.id] = {order, now};
     output_.orders.push_back(std::move(order));
-    return last_order_;
+    return last_order_id_;
 }
 
 std::optional<run_refusal> agent_core::refusal_reason() const {
-    if (!is_profiled_ || !is_synchronized_ || is_silent_)
+    if (!has_profile_ || !is_synchronized_ || is_unresponsive_)
         return run_refusal::no_backend;
     if (backend_.draining || is_shutting_down_)
         return run_refusal::draining;
@@ -62,100 +62,104 @@
 void agent_core::start_queued(time_point now) {
     if (queue_.empty() || refusal_reason() || has_unclaimed_runs())
         return;
-    std::deque<run_ref> waiting;
-    waiting.swap(queue_);
-    for (const run_ref& run : waiting) {
+    std::deque<run_ref> pending_runs;
+    pending_runs.swap(queue_);
+    for (const run_ref& run : pending_runs) {
         run_record* record = runs_.find(run);
         if (record == nullptr || record->state != run_state::queued)
             continue;
         const bool fits = record->needs.fits_in(backend_.capacity - runs_.held());
         if (!fits || starts_in_flight_ >= limits_.max_starts_in_flight)
             queue_.push_back(run);
-        else if (!is_present(record->owner, record->is_durable, now) || now >= record->expires_at)
+        else if (!is_owner_present(record->owner, record->is_durable, now) || now >= record->expires_at)
             end_run(*record, run_state::refused, run_refusal::owner_silent, now);
         else
-            order_start(*record, now);
+            send_start_order(*record, now);
     }
 }
 
-void agent_core::order_start(run_record& record, time_point now) {
+void agent_core::send_start_order(run_record& record, time_point now) {
     runs_.set_state(record, run_state::starting);
     record.is_start_unanswered = false;
     record.start_ordered_at = now;
-    record.start_token = token_;
+    record.start_token = fencing_token_;
     ++starts_in_flight_;
-    send(start_order{record.run, *record.payload, record.checkpoint}, order_round_trip_.timeout(), now);
+    send_order(start_order{record.run, *record.payload, record.checkpoint}, order_round_trip_.timeout(), now);
 }
 
-void agent_core::order_stop(run_record& record, time_point now) {
+void agent_core::send_stop_order(run_record& record, time_point now) {
     record.is_stop_ordered = true;
-    send(stop_order{record.run}, order_round_trip_.timeout(), now);
+    send_order(stop_order{record.run}, order_round_trip_.timeout(), now);
 }
 
 // A few lost answers must not let the lease expire, but the lease of an unresponsive backend server must
 // expire.
-bool agent_core::renews_lease(time_point now) const {
+bool agent_core::should_renew_lease(time_point now) const {
     return unanswered_holds_ <= 1 || now - last_reply_ < limits_.silence_timeout;
 }
 
 bool agent_core::needs_hold() const {
     // Hold orders are sent to an unresponsive backend server until it answers. Otherwise it would never get
     // work again.
-    return is_silent_ || runs_.active_count() > 0 || ends_.acknowledged() > confirmed_end_;
+    return is_unresponsive_ || runs_.active_count() > 0 ||
+           end_acknowledger_.max_acknowledgeable() > confirmed_end_;
 }
 
 bool agent_core::is_hold_due(time_point now) const {
-    return !backend_.id.empty() && is_synchronized_ && hold_ == 0 && needs_hold() && now >= next_hold_;
+    return !backend_.id.empty() && is_synchronized_ && hold_order_id_ == 0 && needs_hold() &&
+           now >= next_hold_;
 }
 
 std::uint64_t agent_core::end_to_acknowledge(time_point now) const {
-    return now - last_reply_ <= limits_.acknowledgement_age ? ends_.acknowledged() : 0;
+    return now - last_reply_ <= limits_.max_reply_age_to_acknowledge ? end_acknowledger_.max_acknowledgeable()
+                                                                     : 0;
 }
 
-void agent_core::order_hold(time_point now) {
+void agent_core::send_hold_order(time_point now) {
     hold_order hold;
     hold.acknowledged_end = end_to_acknowledge(now);
-    hold.wait = is_silent_ ? milliseconds{0} : limits_.hold_wait;
-    hold.renews = renews_lease(now);
+    hold.wait = is_unresponsive_ ? milliseconds{0} : limits_.max_hold_wait;
+    hold.renews = should_renew_lease(now);
     const milliseconds timeout = hold.wait + order_round_trip_.timeout();
-    hold_ = send(hold, timeout, now);
+    hold_order_id_ = send_order(hold, timeout, now);
 }
 
 // Sends a hold order with a higher token, which fences all earlier orders. The answer shows which of them
 // were executed.
 void agent_core::raise_token(time_point now) {
-    is_raise_wanted_ = false;
-    token_ = std::max(token_ + 1, static_cast<std::uint64_t>(std::max<std::int64_t>(0, clock_.at(now))));
+    is_raise_needed_ = false;
+    fencing_token_ = std::max(fencing_token_ + 1,
+                              static_cast<std::uint64_t>(std::max<std::int64_t>(0, backend_clock_.at(now))));
     hold_order hold;
     hold.acknowledged_end = end_to_acknowledge(now);
-    hold.renews = renews_lease(now);
-    raise_ = send(hold, order_round_trip_.timeout(), now);
+    hold.renews = should_renew_lease(now);
+    raise_order_id_ = send_order(hold, order_round_trip_.timeout(), now);
 }
 
 void agent_core::replied(const backend_reply& reply, time_point now) {
-    const auto found = sent_.find(reply.id);
-    if (found == sent_.end())
+    const auto found = orders_in_flight_.find(reply.id);
+    if (found == orders_in_flight_.end())
         return;
     const sent_order sent = std::move(found->second);
-    sent_.erase(found);
+    orders_in_flight_.erase(found);
     if (reply.clock_ms > 0)
-        clock_.observe(reply.clock_ms, now);
-    const bool is_raise = reply.id == raise_;
-    if (reply.id == hold_)
-        hold_ = 0;
+        backend_clock_.observe(reply.clock_ms, now);
+    const bool is_raise = reply.id == raise_order_id_;
+    if (reply.id == hold_order_id_)
+        hold_order_id_ = 0;
     if (is_raise)
-        raise_ = 0;
+        raise_order_id_ = 0;
     if (reply.verdict == backend_verdict::other_instance) {
-        note("another backend server answered", {}, {{"backend", backend_.id}}, true);
-        lose_backend(run_refusal::no_backend, false, now);
+        record_decision("another backend server answered", {}, {{"backend", backend_.id}}, true);
+        process_backend_loss(run_refusal::no_backend, false, now);
         backend_ = {};
-        is_profiled_ = false;
+        has_profile_ = false;
         return;
     }
     if (reply.life != 0 && reply.life != backend_.life) {
-        note("another life of the backend server answered", {},
-             {{"backend", backend_.id}, {"life", static_cast<std::int64_t>(reply.life)}}, true);
-        begin_life(std::string{backend_.id}, reply.life, now);
+        record_decision("another life of the backend server answered", {},
+                        {{"backend", backend_.id}, {"life", static_cast<std::int64_t>(reply.life)}}, true);
+        begin_backend_life(std::string{backend_.id}, reply.life, now);
         return;
     }
     // An agent that was suspended reads answers late, so the send time of the order counts.
@@ -169,14 +173,14 @@
             order_round_trip_.answered(now - sent.sent);
     }
     if (std::holds_alternative<start_order>(sent.order.action))
-        start_replied(sent, reply, now);
+        process_start_reply(sent, reply, now);
     else if (std::holds_alternative<stop_order>(sent.order.action))
-        stop_replied(sent, reply, now);
+        process_stop_reply(sent, reply, now);
     else
-        hold_replied(sent, reply, is_raise, now);
+        process_hold_reply(sent, reply, is_raise, now);
 }
 
-void agent_core::start_replied(const sent_order& sent, const backend_reply& reply, time_point now) {
+void agent_core::process_start_reply(const sent_order& sent, const backend_reply& reply, time_point now) {
     if (starts_in_flight_ > 0)
         --starts_in_flight_;
     run_record* record = runs_.find(std::get<start_order>(sent.order.action).run);
@@ -190,13 +194,13 @@
         record->last_progress_ms = reply.clock_ms;
         report(*record, now);
         if (record->is_stop_requested && !record->is_stop_ordered)
-            order_stop(*record, now);
+            send_stop_order(*record, now);
         return;
     case backend_verdict::fenced:
         // The token was raised while the order was in flight, or by an earlier process of this agent.
-        if (sent.order.fencing_token == token_) {
-            token_ += token_step;
-            is_raise_wanted_ = true;
+        if (sent.order.fencing_token == fencing_token_) {
+            fencing_token_ += token_step;
+            is_raise_needed_ = true;
         }
         [[fallthrough]];
     case backend_verdict::late:
@@ -221,30 +225,30 @@
         return;
     case backend_verdict::no_answer:
         record->is_start_unanswered = true;
-        is_raise_wanted_ = true;
-        note("start order got no answer", record->run.task.job,
-             {{"step", record->run.task.step},
-              {"task", record->run.task.index},
-              {"run", static_cast<std::int64_t>(record->run.run)}});
+        is_raise_needed_ = true;
+        record_decision("start order got no answer", record->run.task.job,
+                        {{"step", record->run.task.step},
+                         {"task", record->run.task.index},
+                         {"run", static_cast<std::int64_t>(record->run.run)}});
         return;
     }
 }
 
-void agent_core::stop_replied(const sent_order& sent, const backend_reply& reply, time_point now) {
+void agent_core::process_stop_reply(const sent_order& sent, const backend_reply& reply, time_point now) {
     run_record* record = runs_.find(std::get<stop_order>(sent.order.action).run);
     if (record == nullptr || is_final(record->state) || reply.verdict == backend_verdict::accepted)
         return;
     // The next tick sends the order again. The run holds its capacity until its end is listed.
     record->is_stop_ordered = false;
-    if (reply.verdict == backend_verdict::fenced && sent.order.fencing_token == token_) {
-        token_ += token_step;
-        is_raise_wanted_ = true;
+    if (reply.verdict == backend_verdict::fenced && sent.order.fencing_token == fencing_token_) {
+        fencing_token_ += token_step;
+        is_raise_needed_ = true;
     }
     next_hold_ = std::min(next_hold_, now);
 }
 
-void agent_core::hold_replied(const sent_order& sent, const backend_reply& reply, bool is_raise,
-                              time_point now) {
+void agent_core::process_hold_reply(const sent_order& sent, const backend_reply& reply, bool is_raise,
+                                    time_point now) {
     if (reply.verdict == backend_verdict::accepted) {
         unanswered_holds_ = 0;
         const bool is_new = !reply.ended.empty() && reply.ended.back().number > last_listed_end_;
@@ -253,17 +257,18 @@
         if (!reply.ended.empty())
             last_listed_end_ = std::max(last_listed_end_, reply.ended.back().number);
         confirmed_end_ = std::max(confirmed_end_, std::get<hold_order>(sent.order.action).acknowledged_end);
-        if (is_silent_) {
-            is_silent_ = false;
-            note("backend server answers again", {}, {{"backend", backend_.id}});
+        if (is_unresponsive_) {
+            is_unresponsive_ = false;
+            record_decision("backend server answers again", {}, {{"backend", backend_.id}});
         }
         process_lists(sent, reply, now);
         return;
     }
-    if (reply.verdict == backend_verdict::fenced && sent.order.fencing_token == token_) {
-        token_ = std::max(token_, static_cast<std::uint64_t>(std::max<std::int64_t>(0, reply.clock_ms))) +
-                 token_step;
-        is_raise_wanted_ = true;
+    if (reply.verdict == backend_verdict::fenced && sent.order.fencing_token == fencing_token_) {
+        fencing_token_ =
+            std::max(fencing_token_, static_cast<std::uint64_t>(std::max<std::int64_t>(0, reply.clock_ms))) +
+            token_step;
+        is_raise_needed_ = true;
         next_raise_ = now;
         return;
     }
@@ -274,15 +279,15 @@
     ++unanswered_holds_;
     milliseconds pause{0};
     if (unanswered_holds_ > 1)
-        pause = renews_lease(now) ? limits_.min_order_timeout : limits_.retry_delay;
+        pause = should_renew_lease(now) ? limits_.min_order_timeout : limits_.retry_delay;
     next_hold_ = now + pause;
     if (is_raise) {
-        is_raise_wanted_ = true;
+        is_raise_needed_ = true;
         next_raise_ = now + pause;
     }
-    if (!renews_lease(now) && !is_silent_) {
-        is_silent_ = true;
-        note("backend server does not answer", {}, {{"backend", backend_.id}}, true);
+    if (!should_renew_lease(now) && !is_unresponsive_) {
+        is_unresponsive_ = true;
+        record_decision("backend server does not answer", {}, {{"backend", backend_.id}}, true);
         refuse_queued(run_refusal::no_backend, now);
     }
 }
@@ -291,27 +296,27 @@
     std::set<run_ref> listed;
     for (const listed_end& end : reply.ended) {
         listed.insert(end.run);
-        process_end(end, now);
+        process_listed_end(end, now);
     }
     for (const listed_run& run : reply.running) {
         listed.insert(run.run);
-        process_running(run, reply.clock_ms, now);
+        process_listed_run(run, reply.clock_ms, now);
     }
-    if (!is_synchronized_ && hold.order.fencing_token == token_)
+    if (!is_synchronized_ && hold.order.fencing_token == fencing_token_)
         complete_synchronization(now);
     resolve_unanswered_starts(hold, listed, now);
     if (reply.ended.size() < max_listed_ends)
         end_missing_runs(hold, listed, now);
 }
 
-void agent_core::process_end(const listed_end& end, time_point now) {
-    ends_.listed(end.number);
-    if (ends_.is_recorded(end.number))
+void agent_core::process_listed_end(const listed_end& end, time_point now) {
+    end_acknowledger_.listed(end.number);
+    if (end_acknowledger_.is_recorded(end.number))
         return;
     // The lease of this run expired and the agent reported it as ended, so the listed end is acknowledged
     // without a further report.
     if (abandoned_runs_.contains(end.run)) {
-        ends_.recorded(end.number);
+        end_acknowledger_.mark_recorded(end.number);
         return;
     }
     run_record* record = runs_.find(end.run);
@@ -327,14 +332,14 @@
     record->end_number = end.number;
     if (!end.checkpoint.empty())
         record->checkpoint = end.checkpoint;
-    end_run(*record, end.how, record->reason, now);
+    end_run(*record, end.final_state, record->reason, now);
 }
 
-void agent_core::process_running(const listed_run& listed, std::int64_t clock_ms, time_point now) {
+void agent_core::process_listed_run(const listed_run& listed, std::int64_t clock_ms, time_point now) {
     run_record* record = runs_.find(listed.run);
     if (record == nullptr) {
-        note("found a run at the backend server", listed.run.task.job,
-             {{"run", static_cast<std::int64_t>(listed.run.run)}});
+        record_decision("found a run at the backend server", listed.run.task.job,
+                        {{"run", static_cast<std::int64_t>(listed.run.run)}});
         run_record found;
         found.run = listed.run;
         found.state = run_state::running;
@@ -361,13 +366,13 @@
         record->percent = listed.percent;
         record->last_progress_ms = clock_ms;
     } else if (is_stalled(*record, listed, clock_ms)) {
-        note("task makes no progress", listed.run.task.job,
-             {{"step", listed.run.task.step},
-              {"task", listed.run.task.index},
-              {"run", static_cast<std::int64_t>(listed.run.run)},
-              {"percent", record->percent},
-              {"for_ms", clock_ms - record->last_progress_ms}},
-             true);
+        record_decision("task makes no progress", listed.run.task.job,
+                        {{"step", listed.run.task.step},
+                         {"task", listed.run.task.index},
+                         {"run", static_cast<std::int64_t>(listed.run.run)},
+                         {"percent", record->percent},
+                         {"for_ms", clock_ms - record->last_progress_ms}},
+                        true);
         request_stop(*record, run_refusal::stalled, now);
     }
 }
@@ -391,11 +396,11 @@
     });
     for (const run_ref& run : resolved) {
         run_record& record = *runs_.find(run);
-        note("start order is proved void", run.task.job,
-             {{"step", run.task.step},
-              {"task", run.task.index},
-              {"run", static_cast<std::int64_t>(run.run)},
-              {"token", static_cast<std::int64_t>(hold.order.fencing_token)}});
+        record_decision("start order is proved void", run.task.job,
+                        {{"step", run.task.step},
+                         {"task", run.task.index},
+                         {"run", static_cast<std::int64_t>(run.run)},
+                         {"token", static_cast<std::int64_t>(hold.order.fencing_token)}});
         if (record.is_stop_requested) {
             end_run(record, run_state::refused, run_refusal::withdrawn, now);
             continue;
@@ -408,14 +413,14 @@
 // Ends runs that are in neither list although their start was confirmed before the lists were requested. The
 // backend server has lost its record of them.
 void agent_core::end_missing_runs(const sent_order& hold, const std::set<run_ref>& listed, time_point now) {
-    std::vector<run_ref> vanished;
+    std::vector<run_ref> missing_runs;
     runs_.for_each([&](run_record& record) {
         if (record.state == run_state::running && record.started < hold.sent && !listed.contains(record.run))
-            vanished.push_back(record.run);
+            missing_runs.push_back(record.run);
     });
-    for (const run_ref& run : vanished) {
-        note("run is in no list of the backend server", run.task.job,
-             {{"run", static_cast<std::int64_t>(run.run)}}, true);
+    for (const run_ref& run : missing_runs) {
+        record_decision("run is in no list of the backend server", run.task.job,
+                        {{"run", static_cast<std::int64_t>(run.run)}}, true);
         end_run(*runs_.find(run), run_state::lapsed, run_refusal::no_backend, now);
     }
 }
@@ -424,10 +429,10 @@
 void agent_core::complete_synchronization(time_point now) {
     is_synchronized_ = true;
     next_hold_ = now;
-    note("backend server is settled", {},
-         {{"backend", backend_.id},
-          {"token", static_cast<std::int64_t>(token_)},
-          {"runs", static_cast<std::int64_t>(runs_.size())}});
+    record_decision("backend server is settled", {},
+                    {{"backend", backend_.id},
+                     {"token", static_cast<std::int64_t>(fencing_token_)},
+                     {"runs", static_cast<std::int64_t>(runs_.size())}});
     if (!are_inventories_published_)
         publish_inventories(now);
 }
@@ -448,7 +453,7 @@
     send_inventory(link, state.process, now);
     if (!state.session.name.empty())
         send_inventory(link, state.session, now);
-    for (const auto& [former, successor] : deposed_) {
+    for (const auto& [former, successor] : deposed_owners_) {
         if (successor == state.session)
             output_.messages.emplace_back(link, run_inventory{former, {}, state.received_starts});
     }
--- a/coordination/agent_runs.cpp
+++ b/coordination/agent_runs.cpp
@@ -19,7 +19,7 @@
     if (record.end_number != 0 && (record.is_durable || !is_claimed))
         return;
     if (record.end_number != 0)
-        ends_.recorded(record.end_number);
+        end_acknowledger_.mark_recorded(record.end_number);
     runs_.erase(run_ref{record.run});
 }
 
@@ -27,17 +27,18 @@
 // backend server.
 void agent_core::record_outcome(const run_record& record, time_point now) {
     if (record.state == run_state::done) {
-        health_.succeeded();
+        backend_health_.succeeded();
         return;
     }
-    const bool is_bad =
+    const bool is_backend_fault =
         (record.state == run_state::failed && record.run.run == 1) ||
         (record.state == run_state::stopped && record.reason == run_refusal::stalled) ||
         (record.state == run_state::refused && record.reason == run_refusal::unhealthy_backend);
-    if (!is_bad || !health_.failed(record.run.task.job, now))
+    if (!is_backend_fault || !backend_health_.failed(record.run.task.job, now))
         return;
-    const auto pause = std::chrono::duration_cast<milliseconds>(health_.avoided_until() - now);
-    note("backend server is suspect", {}, {{"backend", backend_.id}, {"for_ms", pause.count()}}, true);
+    const auto pause = std::chrono::duration_cast<milliseconds>(backend_health_.avoided_until() - now);
+    record_decision("backend server is suspect", {}, {{"backend", backend_.id}, {"for_ms", pause.count()}},
+                    true);
 }
 
 void agent_core::request_stop(run_record& record, run_refusal reason, time_point now) {
@@ -48,10 +49,10 @@
     if (record.state == run_state::queued)
         end_run(record, run_state::refused, reason, now);
     else if (record.state == run_state::running)
-        order_stop(record, now);
+        send_stop_order(record, now);
 }
 
-void agent_core::refuse(const run_ref& run, link_number link, run_refusal reason) {
+void agent_core::report_refusal(const run_ref& run, link_number link, run_refusal reason) {
     run_report refused;
     refused.run = run;
     refused.state = run_state::refused;
@@ -60,15 +61,15 @@
 }
 
 void agent_core::refuse_queued(run_refusal reason, time_point now) {
-    std::deque<run_ref> waiting;
-    waiting.swap(queue_);
-    for (const run_ref& run : waiting) {
+    std::deque<run_ref> pending_runs;
+    pending_runs.swap(queue_);
+    for (const run_ref& run : pending_runs) {
         if (run_record* record = runs_.find(run); record != nullptr && record->state == run_state::queued)
             end_run(*record, run_state::refused, reason, now);
     }
 }
 
-bool agent_core::is_present(const incarnation& owner, bool is_durable, time_point now) const {
+bool agent_core::is_owner_present(const incarnation& owner, bool is_durable, time_point now) const {
     const auto found = owners_.find(owner);
     return found != owners_.end() &&
            now < found->second.last_contact +
@@ -78,7 +79,7 @@
 // Stops runs that have expired or whose owner has been unreachable for too long. A successor that cannot
 // reach this agent relies on that. Ended runs of an owner that stays away lose their owner, so that they are
 // offered to all entries.
-void agent_core::check_owners(time_point now) {
+void agent_core::check_owner_contact(time_point now) {
     std::vector<run_ref> abandoned;
     runs_.for_each([&](run_record& record) {
         if (is_final(record.state) && !record.owner.name.empty() &&
@@ -88,34 +89,34 @@
             return;
         const bool is_claimed = !record.owner.name.empty();
         const bool has_owner =
-            is_claimed ? is_present(record.owner, record.is_durable, now)
+            is_claimed ? is_owner_present(record.owner, record.is_durable, now)
                        : now < record.accepted + caller_contact_lease(limits_.caller_resend_delay);
         if (!has_owner || now >= record.expires_at)
             abandoned.push_back(record.run);
     });
     for (const run_ref& run : abandoned) {
-        note("ending a run whose owner is away or whose caller has left", run.task.job,
-             {{"run", static_cast<std::int64_t>(run.run)}}, true);
+        record_decision("ending a run whose owner is away or whose caller has left", run.task.job,
+                        {{"run", static_cast<std::int64_t>(run.run)}}, true);
         request_stop(*runs_.find(run), run_refusal::owner_silent, now);
     }
     runs_.for_each([&](run_record& record) {
         if (record.is_stop_requested && !record.is_stop_ordered && record.state == run_state::running)
-            order_stop(record, now);
+            send_stop_order(record, now);
     });
 }
 
 // Ends runs whose lease has expired at an unresponsive backend server, and refuses runs that were queued for
 // too long.
-void agent_core::check_waits(time_point now) {
-    if (is_silent_ && now >= lease_bound_) {
+void agent_core::check_timeouts(time_point now) {
+    if (is_unresponsive_ && now >= all_leases_expired_at_) {
         std::vector<run_ref> lapsed;
         runs_.for_each([&](run_record& record) {
             if (uses_capacity(record.state))
                 lapsed.push_back(record.run);
         });
         for (const run_ref& run : lapsed) {
-            note("lease ran out at a silent backend server", run.task.job,
-                 {{"run", static_cast<std::int64_t>(run.run)}}, true);
+            record_decision("lease ran out at a silent backend server", run.task.job,
+                            {{"run", static_cast<std::int64_t>(run.run)}}, true);
             abandoned_runs_.insert(run);
             end_run(*runs_.find(run), run_state::lapsed, run_refusal::no_backend, now);
         }
--- a/coordination/agent_tasks.h
+++ b/coordination/agent_task_table.h
@@ -26,9 +26,9 @@
 // Accepts, deduplicates and starts the tasks of one agent and reports their results. No later component can
 // prevent a second start of a task, so may_start is checked before every start. Deterministic and without
 // I/O. Not thread-safe.
-class agent_tasks {
+class agent_task_table {
 public:
-    agent_tasks(incarnation self, std::string zone, std::string rack);
+    agent_task_table(incarnation self, std::string zone, std::string rack);
 
     // These set the conditions that may_start checks, and start queued tasks if they are now met.
     agent_actions set_table(const owner_table& table, time_point now);
@@ -36,7 +36,7 @@
     // The configuration and owner table are known to be current until this time. A time earlier than the
     // previous one is ignored.
     agent_actions extend_lease(time_point until, time_point now);
-    agent_actions set_recorded(time_point now);
+    agent_actions mark_agent_recorded(time_point now);
     // Refuses queued tasks now and new tasks from now on. Running tasks finish.
     agent_actions drain(time_point now);
 
@@ -53,7 +53,7 @@
     agent_actions tick(time_point now);
 
     // Hashes of all jobs that have a record, for agent_departure.
-    std::vector<std::uint64_t> known_jobs() const;
+    std::vector<std::uint64_t> known_job_hashes() const;
 
     agent_status status() const;
     // Returns true once after an announcement has expired, so that the entries can be notified.
@@ -64,9 +64,9 @@
     std::size_t stale_messages() const { return stale_messages_; }
 
 private:
-    enum class phase : std::uint8_t { queued, running, ended };
+    enum class record_phase : std::uint8_t { queued, running, ended };
     struct task_record {
-        phase state = phase::queued;
+        record_phase state = record_phase::queued;
         epoch_number epoch = 0;
         std::uint32_t attempt = 0;
         time_point accepted;
@@ -83,14 +83,14 @@
         epoch_number epoch = 0;
         time_point deadline;
         time_point changed;
-        std::size_t open = 0;
+        std::size_t open_tasks = 0;
         std::map<task_index, task_record> tasks;
     };
     struct queued_task {
         job_id job;
         task_index index = 0;
     };
-    struct backend {
+    struct backend_state {
         announcement announced;
         time_point last_announced;
         std::uint32_t running = 0;
@@ -99,16 +99,17 @@
 
     bool may_start(time_point now) const;
     static bool may_start_again(const task_record& record, bool idempotent);
-    std::optional<refusal> refuse_reason(const dispatch& message, time_point now) const;
+    std::optional<refusal> refusal_reason(const dispatch& message, time_point now) const;
     void accept(const dispatch& message, const task_payload& task, job_tasks& job, time_point now);
     void refuse_queued(refusal reason, time_point now, agent_actions& actions);
     void start_queued(time_point now, agent_actions& actions);
-    void start(const queued_task& next, backend& server, time_point now, agent_actions& actions);
-    void end_unstarted(job_tasks& job, task_index index, task_record& record, refusal reason, time_point now);
+    void start(const queued_task& next, backend_state& server, time_point now, agent_actions& actions);
+    void end_unstarted_task(job_tasks& job, task_index index, task_record& record, refusal reason,
+                            time_point now);
     void report(const job_id& id, const job_tasks& job, std::vector<task_report> reports,
                 agent_actions& actions) const;
-    agent_load load_of(const std::string& service) const;
-    void expire_records(time_point now);
+    agent_load current_load(const std::string& service) const;
+    void delete_expired_records(time_point now);
 
     incarnation self_;
     std::string zone_;
@@ -118,12 +119,12 @@
     std::shared_ptr<const fleet_view> fleet_;
     config_revision required_revision_ = 0;
     time_point lease_until_{};
-    bool recorded_ = false;
-    bool draining_ = false;
-    bool status_changed_ = false;
+    bool is_recorded_ = false;
+    bool is_draining_ = false;
+    bool has_status_changed_ = false;
     std::unordered_map<job_id, job_tasks> jobs_;
-    std::deque<std::pair<time_point, job_id>> ended_order_;
-    std::map<std::string, backend> backends_;
+    std::deque<std::pair<time_point, job_id>> ended_jobs_by_time_;
+    std::map<std::string, backend_state> backends_;
     std::size_t running_count_ = 0;
     std::size_t stale_messages_ = 0;
 };
--- a/coordination/agent_view.h
+++ b/coordination/agent_view.h
@@ -2,7 +2,7 @@
 
 #include "coordination/agent_output.h"
 #include "coordination/ledger_task.h"
-#include "coordination/speed_estimate.h"
+#include "coordination/robust_average.h"
 #include "state/agent_profile.h"
 #include "state/run_ref.h"
 #include "state/time.h"
@@ -19,7 +19,7 @@
 // What an entry knows about one agent and its backend server.
 struct agent_view {
     // Takes the place of the start message number for a run that was claimed after the agent restarted.
-    static constexpr std::uint64_t claimed = std::numeric_limits<std::uint64_t>::max();
+    static constexpr std::uint64_t claimed_start = std::numeric_limits<std::uint64_t>::max();
 
     agent_number number = 0;
     std::string name;
@@ -35,21 +35,21 @@
     agent_free_capacity room;
     // Number of start messages sent on this connection, and the resource needs of those that `room` does not
     // include yet.
-    std::uint64_t starts_sent = 0;
+    std::uint64_t sent_starts = 0;
     std::deque<std::pair<std::uint64_t, resources>> unacknowledged_starts;
     // Runs that this entry sent to the agent and that have not ended, each with the number of its start
     // message on this connection. The number is 0 for runs of an earlier connection.
     std::map<run_ref, std::uint64_t> runs;
     // When the latest clock reading of the agent arrived. The agent stops runs after some time without
     // contact to this entry; that time starts when it sent the reading.
-    time_point heard{};
+    time_point last_reading_at{};
     // The clock reading to echo; 0 before the first one on this connection.
     std::int64_t last_reading_ns = 0;
     // Actual run time divided by the expected run time.
-    speed_estimate slowness{16};
+    robust_average slowness{16};
     // After the agent has refused a run, it is sent no further run before this time. By then a message with
     // its current state should have arrived.
-    time_point refused_until{};
+    time_point backoff_until{};
 
     // Reported free capacity minus the needs of queued runs and of start messages that the report does not
     // include.
--- a/coordination/backend_clock.h
+++ b/coordination/backend_clock.h
@@ -14,7 +14,7 @@
 public:
     void observe(std::int64_t reading_ms, time_point now) {
         reading_ms_ = reading_ms;
-        read_ = now;
+        read_at_ = now;
         is_known_ = true;
     }
 
@@ -24,12 +24,12 @@
     std::int64_t at(time_point now) const {
         if (!is_known_)
             return 0;
-        return reading_ms_ + std::chrono::duration_cast<milliseconds>(now - read_).count();
+        return reading_ms_ + std::chrono::duration_cast<milliseconds>(now - read_at_).count();
     }
 
 private:
     std::int64_t reading_ms_ = 0;
-    time_point read_{};
+    time_point read_at_{};
     bool is_known_ = false;
 };
 
--- a/coordination/backend_health.cpp
+++ b/coordination/backend_health.cpp
@@ -18,20 +18,20 @@
 } // namespace
 
 void backend_health::succeeded() {
-    failures_in_a_row_ = 0;
+    consecutive_failures_ = 0;
     pause_ = milliseconds{0};
 }
 
 bool backend_health::failed(const job_id& job, time_point now) {
-    if (job != last_failed_)
-        ++failures_in_a_row_;
-    last_failed_ = job;
-    if (failures_in_a_row_ < failure_threshold || is_avoided(now))
+    if (job != last_failed_job_)
+        ++consecutive_failures_;
+    last_failed_job_ = job;
+    if (consecutive_failures_ < failure_threshold || is_avoided(now))
         return false;
     pause_ = std::clamp(pause_ * 2, initial_pause, max_pause);
     avoided_until_ = now + pause_;
     // A single failure after the pause starts the next pause.
-    failures_in_a_row_ = failure_threshold - 1;
+    consecutive_failures_ = failure_threshold - 1;
     return true;
 }
 
--- a/coordination/backend_health.h
+++ b/coordination/backend_health.h
@@ -22,8 +22,8 @@
     bool is_on_probation(time_point now) const { return pause_.count() > 0 && !is_avoided(now); }
 
 private:
-    std::uint32_t failures_in_a_row_ = 0;
-    job_id last_failed_;
+    std::uint32_t consecutive_failures_ = 0;
+    job_id last_failed_job_;
     // Duration of the latest pause, during which the backend server is avoided. 0 after a success.
     milliseconds pause_{0};
     time_point avoided_until_{};
--- a/coordination/backend_reply.h
+++ b/coordination/backend_reply.h
@@ -72,7 +72,7 @@
     std::uint64_t number = 0;
     run_ref run;
     // Final state of the run.
-    run_state how = run_state::lapsed;
+    run_state final_state = run_state::lapsed;
     std::string checkpoint;
 };
 
--- a/coordination/call_rate_limiter.h
+++ b/coordination/call_rate_limiter.h
@@ -15,7 +15,7 @@
     double burst = 20;
     // Delay after the first failure. It doubles with each further failure up to the maximum.
     milliseconds initial_backoff{50};
-    milliseconds maximum_backoff{2000};
+    milliseconds max_backoff{2000};
 };
 
 // Decides how long a caller waits before its next call: a token bucket limits the rate, and failures add an
@@ -35,9 +35,9 @@
     call_rate_limiter_settings settings_;
     std::mt19937_64 random_;
     double tokens_;
-    time_point refilled_{};
-    time_point not_before_{};
-    unsigned failures_ = 0;
+    time_point refilled_at_{};
+    time_point backoff_until_{};
+    unsigned consecutive_failures_ = 0;
 };
 
 } // namespace persimmonstile
--- a/coordination/ejection.cpp
+++ b/coordination/ejection_state.cpp
@@ -1,4 +1,4 @@
-#include "coordination/ejection.h"
+#include "coordination/ejection_state.h"
 
 #include <algorithm>
 #include <cmath>
@@ -9,14 +9,14 @@
 namespace {
 
 // Maximum probability that the consecutive failures that lead to an ejection occurred by chance.
-constexpr double max_chance = 1e-3;
+constexpr double max_false_ejection_probability = 1e-3;
 
 // Bounds of the number of consecutive failures that lead to an ejection.
 constexpr std::uint32_t min_failures = 3;
 constexpr std::uint32_t max_failures = 20;
 
 // Number of consecutive failures after which the window is reset to one task.
-constexpr std::uint32_t failures_to_restart = 2;
+constexpr std::uint32_t failures_before_window_reset = 2;
 
 // Weight of one task in the failure ratio, a moving average over about the last 16 tasks.
 constexpr float failure_weight = 1.0F / 16;
@@ -29,7 +29,7 @@
 constexpr std::chrono::seconds max_backoff{60};
 
 // Number of successes since the last ejection after which the backoff is reset.
-constexpr std::uint32_t successes_to_forget = 50;
+constexpr std::uint32_t successes_before_backoff_reset = 50;
 
 // Pause after a refusal. It doubles with each refusal until a task succeeds.
 constexpr std::chrono::milliseconds initial_pause{5};
@@ -42,44 +42,44 @@
 
 } // namespace
 
-void ejection::start_with(std::uint32_t window) {
+void ejection_state::reset_window(std::uint32_t window) {
     window_ = window;
-    ceiling_ = no_ceiling;
+    window_ceiling_ = no_ceiling;
 }
 
-void ejection::succeeded(time_point now) {
-    failures_in_a_row_ = 0;
-    consecutive_failures_ = 0;
+void ejection_state::succeeded(time_point now) {
+    all_consecutive_failures_ = 0;
+    counted_consecutive_failures_ = 0;
     failure_ratio_ -= failure_weight * failure_ratio_;
     pause_ = std::chrono::nanoseconds{0};
-    if (++successes_ >= successes_to_forget)
+    if (++successes_ >= successes_before_backoff_reset)
         backoff_ = std::chrono::nanoseconds{0};
-    if (ceiling_ != no_ceiling && now - ceiling_raised_ >= ceiling_interval) {
-        ceiling_ += ceiling_step_;
+    if (window_ceiling_ != no_ceiling && now - ceiling_raised_at_ >= ceiling_interval) {
+        window_ceiling_ += ceiling_step_;
         ceiling_step_ *= 2;
-        ceiling_raised_ = now;
+        ceiling_raised_at_ = now;
     }
     // Prevents an overflow. The slots limit the load before the window becomes this large.
     constexpr std::uint32_t max_window = 1U << 20;
-    window_ = std::min({window_ + 1, ceiling_, max_window});
+    window_ = std::min({window_ + 1, window_ceiling_, max_window});
 }
 
-void ejection::failed(bool same_job) {
+void ejection_state::failed(bool is_same_job) {
     // Otherwise a defective backend server that fails tasks quickly would always have free slots for more.
-    if (++failures_in_a_row_ >= failures_to_restart)
+    if (++all_consecutive_failures_ >= failures_before_window_reset)
         window_ = 1;
-    if (same_job)
+    if (is_same_job)
         return;
-    ++consecutive_failures_;
+    ++counted_consecutive_failures_;
     failure_ratio_ += failure_weight * (1 - failure_ratio_);
 }
 
-void ejection::refused(bool queue_full, std::uint32_t others, time_point now) {
-    if (queue_full) {
-        ceiling_ = std::max<std::uint32_t>(others, 1);
+void ejection_state::refused(bool is_queue_full, std::uint32_t other_tasks, time_point now) {
+    if (is_queue_full) {
+        window_ceiling_ = std::max<std::uint32_t>(other_tasks, 1);
         ceiling_step_ = 1;
-        ceiling_raised_ = now;
-        window_ = std::min(window_, ceiling_);
+        ceiling_raised_at_ = now;
+        window_ = std::min(window_, window_ceiling_);
     } else {
         window_ = 1;
     }
@@ -90,14 +90,14 @@
     paused_until_ = now + pause_;
 }
 
-bool ejection::fails_everything(double usual_ratio) const {
-    const double ratio = std::clamp(usual_ratio, 0.01, 0.9);
-    const double needed = std::ceil(std::log(max_chance) / std::log(ratio));
-    const auto limit = std::clamp(static_cast<std::uint32_t>(needed), min_failures, max_failures);
-    return consecutive_failures_ >= limit;
+bool ejection_state::has_excessive_failures(double peer_failure_ratio) const {
+    const double ratio = std::clamp(peer_failure_ratio, 0.01, 0.9);
+    const double needed_failures = std::ceil(std::log(max_false_ejection_probability) / std::log(ratio));
+    const auto limit = std::clamp(static_cast<std::uint32_t>(needed_failures), min_failures, max_failures);
+    return counted_consecutive_failures_ >= limit;
 }
 
-void ejection::eject(ejection_cause cause, time_point now) {
+void ejection_state::eject(ejection_cause cause, time_point now) {
     cause_ = cause;
     successes_ = 0;
     window_ = 1;
@@ -105,21 +105,21 @@
     probe_at_ = now + backoff_;
 }
 
-void ejection::probe_sent(time_point now) {
+void ejection_state::record_probe(time_point now) {
     lengthen_backoff();
     probe_at_ = now + backoff_;
 }
 
-void ejection::lengthen_backoff() {
+void ejection_state::lengthen_backoff() {
     const auto first = cause_ == ejection_cause::silence ? initial_backoff_after_silence : initial_backoff;
     backoff_ = std::clamp<std::chrono::nanoseconds>(2 * backoff_, first, max_backoff);
 }
 
-void ejection::readmit(std::uint32_t window) {
+void ejection_state::readmit(std::uint32_t window) {
     cause_ = ejection_cause::none;
-    failures_in_a_row_ = 0;
-    consecutive_failures_ = 0;
-    window_ = std::min(window, ceiling_);
+    all_consecutive_failures_ = 0;
+    counted_consecutive_failures_ = 0;
+    window_ = std::min(window, window_ceiling_);
 }
 
 } // namespace persimmonstile
--- a/coordination/end_acknowledger.h
+++ b/coordination/end_acknowledger.h
@@ -15,35 +15,35 @@
     void listed(std::uint64_t number) {
         if (!has_listed_) {
             has_listed_ = true;
-            acknowledged_ = number - 1;
+            max_acknowledgeable_ = number - 1;
             advance();
         }
     }
 
-    void recorded(std::uint64_t number) {
-        if (number <= acknowledged_)
+    void mark_recorded(std::uint64_t number) {
+        if (number <= max_acknowledgeable_)
             return;
         recorded_.insert(number);
         advance();
     }
 
     bool is_recorded(std::uint64_t number) const {
-        return number <= acknowledged_ || recorded_.contains(number);
+        return number <= max_acknowledgeable_ || recorded_.contains(number);
     }
 
-    std::uint64_t acknowledged() const { return acknowledged_; }
+    std::uint64_t max_acknowledgeable() const { return max_acknowledgeable_; }
 
 private:
     void advance() {
-        while (!recorded_.empty() && *recorded_.begin() <= acknowledged_ + 1) {
-            acknowledged_ = std::max(acknowledged_, *recorded_.begin());
+        while (!recorded_.empty() && *recorded_.begin() <= max_acknowledgeable_ + 1) {
+            max_acknowledgeable_ = std::max(max_acknowledgeable_, *recorded_.begin());
             recorded_.erase(recorded_.begin());
         }
     }
 
     // Recorded ends above the first number that is not yet recorded.
     std::set<std::uint64_t> recorded_;
-    std::uint64_t acknowledged_ = 0;
+    std::uint64_t max_acknowledgeable_ = 0;
     bool has_listed_ = false;
 };
 
--- a/coordination/entry_agents.cpp
+++ b/coordination/entry_agents.cpp
@@ -33,7 +33,7 @@
 }
 
 void entry_core::receive(link_number link, const agent_profile& profile, time_point) {
-    agent_view& agent = agents_.by_name(profile.agent.name);
+    agent_view& agent = agents_.find_or_add(profile.agent.name);
     const bool is_new_link = agent.link != link;
     const bool is_new_backend =
         agent.profile.backend.id != profile.backend.id || agent.profile.backend.life != profile.backend.life;
@@ -42,7 +42,7 @@
                         {}, {{"agent", agent.name}}, profile.is_suspect);
     agent.profile = profile;
     if (is_new_backend) {
-        agent.slowness = speed_estimate{16};
+        agent.slowness = robust_average{16};
     }
     if (is_new_link) {
         agents_.connect(agent, link);
@@ -62,7 +62,7 @@
 }
 
 void entry_core::receive(link_number link, const view_ping& ping, time_point now) {
-    agent_view* agent = agents_.by_link(link);
+    agent_view* agent = agents_.find_by_link(link);
     if (agent == nullptr)
         return;
     record_contact(*agent, ping.sent_ns, now);
@@ -70,7 +70,7 @@
 }
 
 void entry_core::record_contact(agent_view& agent, std::int64_t reading_ns, time_point now) {
-    agent.heard = now;
+    agent.last_reading_at = now;
     agent.last_reading_ns = std::max(agent.last_reading_ns, reading_ns);
 }
 
@@ -88,7 +88,7 @@
 }
 
 void entry_core::receive(link_number link, const run_reports& message, time_point now) {
-    agent_view* agent = agents_.by_link(link);
+    agent_view* agent = agents_.find_by_link(link);
     if (agent == nullptr)
         return;
     record_contact(*agent, message.sent_ns, now);
@@ -98,7 +98,7 @@
 }
 
 void entry_core::receive(link_number link, const run_inventory& message, time_point now) {
-    agent_view* agent = agents_.by_link(link);
+    agent_view* agent = agents_.find_by_link(link);
     if (agent == nullptr)
         return;
     if (message.owner.name.empty()) {
@@ -152,7 +152,7 @@
         // count as lost.
         const auto run = agent.runs.find(report.run);
         if (run != agent.runs.end())
-            run->second = agent_view::claimed;
+            run->second = agent_view::claimed_start;
     }
     for (run_claim* message : {&durable_claim, &non_durable_claim}) {
         if (!message->runs.empty())
@@ -170,7 +170,7 @@
     const std::optional<orphan_runs::orphan> unclaimed = orphans_.answered(question, answer, now);
     if (!unclaimed)
         return;
-    const agent_view* agent = agents_.by_number(unclaimed->agent);
+    const agent_view* agent = agents_.find_by_number(unclaimed->agent);
     if (agent == nullptr || agent->link == 0)
         return;
     if (unclaimed->report.awaits_record)
@@ -238,7 +238,7 @@
     }
     case report_effect::waiting:
         if (report.state == run_state::refused)
-            agent.refused_until = now + limits_.refusal_backoff;
+            agent.backoff_until = now + limits_.refusal_backoff;
         record_decision("run ended without a result", id,
                         {{"step", report.run.task.step},
                          {"task", report.run.task.index},
@@ -306,7 +306,7 @@
             const bool is_durable = job != nullptr && job->is_durable();
             const milliseconds contact_lease =
                 is_durable ? owner_contact_lease : caller_contact_lease(limits_.caller_resend_delay);
-            if (now < agent.heard + contact_lease + lease)
+            if (now < agent.last_reading_at + contact_lease + lease)
                 continue;
             mark_run_lost(agent, run, now);
             has_lost_runs = true;
--- a/coordination/entry_core.cpp
+++ b/coordination/entry_core.cpp
@@ -61,7 +61,7 @@
 void entry_core::link_closed(link_number link) {
     is_session_update_needed_ = true;
     peers_.erase(link);
-    if (agent_view* agent = agents_.by_link(link)) {
+    if (agent_view* agent = agents_.find_by_link(link)) {
         record_decision("lost the connection to an agent", {},
                         {{"agent", agent->name}, {"runs", static_cast<std::int64_t>(agent->runs.size())}},
                         true);
@@ -241,7 +241,7 @@
     if (is_plan_needed_)
         place_tasks(now);
     for (auto& [key, numbers] : acknowledgements_) {
-        const agent_view* agent = agents_.by_number(key.first);
+        const agent_view* agent = agents_.find_by_number(key.first);
         if (agent != nullptr && agent->link != 0)
             output_.messages.emplace_back(agent->link, recorded_run_ends{key.second, std::move(numbers)});
     }
--- a/coordination/entry_jobs.cpp
+++ b/coordination/entry_jobs.cpp
@@ -42,7 +42,7 @@
         }
     }
     for (auto& [number, message] : messages) {
-        const agent_view* agent = agents_.by_number(number);
+        const agent_view* agent = agents_.find_by_number(number);
         if (agent == nullptr || agent->link == 0)
             continue;
         message.owner = owner_of(job);
@@ -211,7 +211,7 @@
         message.runs.push_back(std::move(start));
     }
     for (auto& [key, message] : messages) {
-        agent_view& agent = *agents_.by_number(key.first);
+        agent_view& agent = *agents_.find_by_number(key.first);
         const ledger_job& job = *ledger_.find(key.second);
         message.owner = owner_of(job);
         message.is_durable = job.is_durable();
@@ -224,9 +224,9 @@
         resources needs;
         for (const run_spec& start : message.runs)
             needs += start.needs;
-        agent.unacknowledged_starts.emplace_back(++agent.starts_sent, needs);
+        agent.unacknowledged_starts.emplace_back(++agent.sent_starts, needs);
         for (const run_spec& start : message.runs)
-            agent.runs[{{job.id, start.occurrence, start.step, start.index}, start.run}] = agent.starts_sent;
+            agent.runs[{{job.id, start.occurrence, start.step, start.index}, start.run}] = agent.sent_starts;
         record_decision("placed tasks", job.id,
                         {{"agent", agent.name},
                          {"tasks", static_cast<std::int64_t>(message.runs.size())},
--- a/coordination/round_trip_estimate.h
+++ b/coordination/round_trip_estimate.h
@@ -11,10 +11,10 @@
 // (RFC 6298). The timeout doubles after each missing answer.
 class round_trip_estimate {
 public:
-    round_trip_estimate(milliseconds first, milliseconds shortest, milliseconds longest)
-        : min_timeout_{shortest}
-        , max_timeout_{longest}
-        , timeout_{first} {}
+    round_trip_estimate(milliseconds initial_timeout, milliseconds min_timeout, milliseconds max_timeout)
+        : min_timeout_{min_timeout}
+        , max_timeout_{max_timeout}
+        , timeout_{initial_timeout} {}
 
     milliseconds timeout() const { return std::clamp(timeout_, min_timeout_, max_timeout_); }
 
--- a/coordination/run_planner.cpp
+++ b/coordination/run_planner.cpp
@@ -65,7 +65,7 @@
 bool run_planner::is_usable(const agent_view& agent, const std::string& service,
                             const deployment_config& config, time_point now) {
     return agent.link != 0 && agent.is_introduced && agent.profile.accepts_runs &&
-           agent.profile.backend.service == service && now >= agent.refused_until &&
+           agent.profile.backend.service == service && now >= agent.backoff_until &&
            !config.zones_out.contains(agent.profile.backend.zone);
 }
 
--- a/coordination/run_time_model.h
+++ b/coordination/run_time_model.h
@@ -2,7 +2,7 @@
 
 #include "coordination/job_target.h"
 #include "coordination/ledger_job.h"
-#include "coordination/speed_estimate.h"
+#include "coordination/robust_average.h"
 #include "state/queue_policy.h"
 
 #include <string>
@@ -26,7 +26,7 @@
 
 private:
     // Ratio of the run time on a typical backend server to the caller's estimate, by queue.
-    std::unordered_map<std::string, speed_estimate> run_time_ratios_;
+    std::unordered_map<std::string, robust_average> run_time_ratios_;
 };
 
 } // namespace persimmonstile
--- a/coordination/scheduler.cpp
+++ b/coordination/scheduler.cpp
@@ -107,7 +107,7 @@
         // When a zone returns, its backend servers start with a window of one task, so that their load rises
         // step by step.
         for (const auto& [service, backend] : agent.backends)
-            services_[service].backends[backend].health.start_with(1);
+            services_[service].backends[backend].health.reset_window(1);
         update_backends_of_agent(agent, now);
     }
 }
@@ -342,7 +342,7 @@
         const double estimate = std::sqrt(backend.slowness.value_or(1) * ratio);
         backend.slowness.reset(estimate);
         if (ratio <= max_slowness && estimate > max_slowness / 2)
-            backend.health.probe_again(now);
+            backend.health.schedule_probe_now(now);
         if (estimate > max_slowness / 2)
             return;
     }
@@ -370,15 +370,15 @@
 template <placement_policy policy>
 void basic_scheduler<policy>::record_failure(service_state& service, scheduler_backend& backend,
                                              std::uint32_t job, time_point now) {
-    const bool same_job = backend.last_failed_job == job + 1;
+    const bool is_same_job = backend.last_failed_job == job + 1;
     backend.last_failed_job = job + 1;
-    backend.health.failed(same_job);
+    backend.health.failed(is_same_job);
     if (backend.health.is_ejected() || !can_eject(service))
         return;
     const std::size_t others = service.serving - service.ejected - 1;
     const double usual_failure_ratio =
         (service.failure_ratio_sum - backend.failure_ratio) / static_cast<double>(others);
-    if (backend.health.fails_everything(usual_failure_ratio))
+    if (backend.health.has_excessive_failures(usual_failure_ratio))
         backend.health.eject(ejection_cause::failures, now);
 }
 
@@ -456,7 +456,7 @@
         if (!backend) {
             backend = add_backend(number, service);
             // Starts with half of its slots until the first tasks show that it works.
-            services_[service].backends[*backend].health.start_with((capacity.slots + 1) / 2);
+            services_[service].backends[*backend].health.reset_window((capacity.slots + 1) / 2);
         }
         services_[service].backends[*backend].slots = capacity.slots;
         services_[service].was_served = true;
@@ -569,7 +569,7 @@
         chosen.silent_since = now;
     chosen.in_flight.push_back({selected.job, index, static_cast<float>(charged_seconds), now});
     if (chosen.health.is_ejected())
-        chosen.health.probe_sent(now);
+        chosen.health.record_probe(now);
     update_backend(service, backend, now);
 }
 
@@ -857,7 +857,7 @@
                                                                          time_point now) {
     const service_state& state = services_[service];
     const scheduler_backend& backend = state.backends[number];
-    const ejection& health = backend.health;
+    const ejection_state& health = backend.health;
     if (!backend.is_serving)
         return std::nullopt;
     if (now < health.paused_until()) {
--- a/coordination/scheduler_backend.h
+++ b/coordination/scheduler_backend.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "coordination/ejection.h"
-#include "coordination/speed_estimate.h"
+#include "coordination/ejection_state.h"
+#include "coordination/robust_average.h"
 #include "state/ids.h"
 #include "state/time.h"
 
@@ -27,8 +27,8 @@
     std::uint32_t slots = 0;
     std::vector<in_flight_task> in_flight;
     // Run time of tasks here relative to the typical run time of tasks of their class; 2 is half as fast.
-    speed_estimate slowness;
-    ejection health;
+    robust_average slowness;
+    ejection_state health;
     // Time of the last return of a started task, or of an assignment to the idle backend server if that is
     // later.
     time_point silent_since;
--- a/coordination/scheduler_service.h
+++ b/coordination/scheduler_service.h
@@ -2,9 +2,9 @@
 
 #include "coordination/fair_queue.h"
 #include "coordination/job_size_distribution.h"
+#include "coordination/robust_average.h"
 #include "coordination/scheduler_backend.h"
 #include "coordination/scheduler_task_class.h"
-#include "coordination/speed_estimate.h"
 #include "state/service_policy.h"
 
 #include <cstddef>
@@ -32,7 +32,7 @@
     std::vector<scheduler_task_class> task_classes{1};
     std::unordered_map<std::string, std::uint8_t> class_by_method;
     // Typical and mean run time in seconds over all classes.
-    speed_estimate typical_run_seconds{256};
+    robust_average typical_run_seconds{256};
     double mean_run_seconds = 0;
     // Number of backend servers that accept tasks, and how many of them are ejected.
     std::size_t serving = 0;
--- a/coordination/store_rate_limiter.cpp
+++ b/coordination/store_rate_limiter.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr std::uint32_t maximum_doublings = 8;
+constexpr std::uint32_t max_doublings = 8;
 
 std::chrono::nanoseconds doubled(std::chrono::nanoseconds start, std::uint32_t times,
                                  std::chrono::nanoseconds limit) {
-    return std::min<std::chrono::nanoseconds>(start * (1LL << std::min(times, maximum_doublings)), limit);
+    return std::min<std::chrono::nanoseconds>(start * (1LL << std::min(times, max_doublings)), limit);
 }
 
 } // namespace
--- a/daemon/agent_daemon.cpp
+++ b/daemon/agent_daemon.cpp
@@ -39,11 +39,11 @@
 }
 
 // Adds the report to an earlier one of the same job that is still to be sent; false if there is none.
-bool merge_report(agent_actions& all, const entry_send& send) {
+bool merge_report(agent_actions& all, const task_message_to_entry& send) {
     const auto* added = std::get_if<task_reports>(&send.message);
     if (added == nullptr)
         return false;
-    for (entry_send& earlier : all.sends) {
+    for (task_message_to_entry& earlier : all.sends) {
         auto* reports = std::get_if<task_reports>(&earlier.message);
         const bool same = reports != nullptr && earlier.to == send.to && reports->job == added->job &&
                           reports->epoch == added->epoch;
@@ -59,7 +59,7 @@
 void append(agent_actions& all, agent_actions next) {
     all.calls.insert(all.calls.end(), std::make_move_iterator(next.calls.begin()),
                      std::make_move_iterator(next.calls.end()));
-    for (entry_send& send : next.sends) {
+    for (task_message_to_entry& send : next.sends) {
         if (!merge_report(all, send))
             all.sends.push_back(std::move(send));
     }
@@ -105,7 +105,7 @@
 void agent_daemon::begin_shutdown() {
     draining_ = true;
     log_event(log_level::info, component, "graceful shutdown started");
-    apply([&](agent_tasks& tasks) { return tasks.drain(clock_.now()); });
+    apply([&](agent_task_table& tasks) { return tasks.drain(clock_.now()); });
     send_status();
 }
 
@@ -130,7 +130,7 @@
 
 agent_departure agent_daemon::parting() const {
     const std::lock_guard lock{tasks_mutex_};
-    return {self_, tasks_.known_jobs()};
+    return {self_, tasks_.known_job_hashes()};
 }
 
 void agent_daemon::stop() {
@@ -173,11 +173,11 @@
     const incarnation& owner = *session.entry;
     const time_point now = clock_.now();
     if (const auto* work = std::get_if<dispatch>(&message))
-        apply([&](agent_tasks& tasks) { return tasks.dispatched(owner, *work, now); });
+        apply([&](agent_task_table& tasks) { return tasks.dispatched(owner, *work, now); });
     else if (const auto* withdrawn = std::get_if<revoke>(&message))
-        apply([&](agent_tasks& tasks) { return tasks.revoked(owner, *withdrawn, now); });
+        apply([&](agent_task_table& tasks) { return tasks.revoked(owner, *withdrawn, now); });
     else if (const auto* query = std::get_if<query_job>(&message))
-        apply([&](agent_tasks& tasks) { return tasks.queried(owner, *query, now); });
+        apply([&](agent_task_table& tasks) { return tasks.queried(owner, *query, now); });
 }
 
 template <typename Event> void agent_daemon::apply(Event event) {
@@ -194,7 +194,7 @@
 void agent_daemon::calls_ended(const std::vector<backend_client::ended_call>& ended) {
     for (const auto& [call, result] : ended)
         end_spans(call, result);
-    apply([&](agent_tasks& tasks) {
+    apply([&](agent_task_table& tasks) {
         agent_actions all;
         for (const auto& [call, result] : ended)
             append(all, tasks.answered(call.job, call.index, result, clock_.now()));
@@ -206,7 +206,7 @@
     for (backend_call& call : actions.calls)
         begin_spans(call);
     backends_->start(std::move(actions.calls));
-    for (const entry_send& send : actions.sends) {
+    for (const task_message_to_entry& send : actions.sends) {
         metrics_.messages.add(kind_of(send.message));
         if (const auto* reports = std::get_if<task_reports>(&send.message))
             count_reports(*reports);
@@ -319,7 +319,7 @@
         table = grantor_.table();
     }
     // The task table must refuse old epochs before the owner learns that this agent knows the new ones.
-    apply([&](agent_tasks& tasks) { return tasks.set_table(table, clock_.now()); });
+    apply([&](agent_task_table& tasks) { return tasks.set_table(table, clock_.now()); });
     send_control(connection, ack);
     redial();
 }
@@ -338,9 +338,9 @@
     if (pong.lease_ns <= 0)
         return;
     if (pong.recorded && !recorded_.exchange(true))
-        apply([&](agent_tasks& tasks) { return tasks.set_recorded(clock_.now()); });
+        apply([&](agent_task_table& tasks) { return tasks.mark_agent_recorded(clock_.now()); });
     const time_point until{std::chrono::nanoseconds{pong.sent_ns + pong.lease_ns}};
-    apply([&](agent_tasks& tasks) { return tasks.extend_lease(until, clock_.now()); });
+    apply([&](agent_task_table& tasks) { return tasks.extend_lease(until, clock_.now()); });
 }
 
 void agent_daemon::config_received(const std::string& content) {
@@ -349,7 +349,7 @@
         return;
     log_event(log_level::info, component, "configuration in use", {{"revision", view->revision}});
     metrics_.configuration_revision.set(static_cast<std::int64_t>(view->revision));
-    apply([&](agent_tasks& tasks) { return tasks.set_fleet(view, clock_.now()); });
+    apply([&](agent_task_table& tasks) { return tasks.set_fleet(view, clock_.now()); });
     send_status();
 }
 
@@ -396,7 +396,7 @@
     if (recovery)
         entries_.send_to_all(*recovery);
     bool status_changed = false;
-    apply([&](agent_tasks& tasks) {
+    apply([&](agent_task_table& tasks) {
         agent_actions actions = tasks.tick(now);
         status_changed = tasks.take_status_change();
         metrics_.running_tasks.set(static_cast<std::int64_t>(tasks.running()));
@@ -443,7 +443,7 @@
     const auto& announced = std::get<announcement>(parsed);
     backends_->set_connection_limit(announced.connections);
     bool changed = false;
-    apply([&](agent_tasks& tasks) {
+    apply([&](agent_task_table& tasks) {
         changed = tasks.announced(announced, clock_.now());
         return agent_actions{};
     });
--- a/daemon/agent_daemon.h
+++ b/daemon/agent_daemon.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "coordination/agent_tasks.h"
+#include "coordination/agent_task_table.h"
 #include "coordination/grantor.h"
 #include "daemon/entry_links.h"
 #include "daemon/fleet_holder.h"
@@ -80,7 +80,7 @@
     fleet_holder fleet_;
     entry_links entries_;
     mutable std::mutex tasks_mutex_;
-    agent_tasks tasks_;
+    agent_task_table tasks_;
     std::mutex grantor_mutex_;
     grantor grantor_;
     io_threads io_;
--- a/soak/promise_check.cpp
+++ b/soak/promise_check.cpp
@@ -169,8 +169,8 @@
     const std::pair key{event.run.task.step, event.run.task.index};
     task_record& task = found->second.tasks[key];
     task.active.erase({backend.id, event.run.run});
-    task.done += event.how == run_state::done ? 1 : 0;
-    task.failed += event.how == run_state::failed ? 1 : 0;
+    task.done += event.final_state == run_state::done ? 1 : 0;
+    task.failed += event.final_state == run_state::failed ? 1 : 0;
 }
 
 void promise_check::noted(const order_backend::event& event) {
@@ -178,9 +178,9 @@
     if (found == jobs_.end())
         return;
     task_record& task = found->second.tasks[{event.run.task.step, event.run.task.index}];
-    if (event.how == run_state::done)
+    if (event.final_state == run_state::done)
         task.is_done_acknowledged = true;
-    if (event.how == run_state::failed)
+    if (event.final_state == run_state::failed)
         ++task.acknowledged_failures;
 }
 
--- a/standins/order_backend.cpp
+++ b/standins/order_backend.cpp
@@ -31,12 +31,12 @@
     has_lease_ = true;
 }
 
-void order_backend::end(const run_ref& run, run_state how, time_point now) {
+void order_backend::end(const run_ref& run, run_state final_state, time_point now) {
     active_.erase(run);
     run_number& highest = highest_[run.task];
     highest = std::max(highest, run.run);
-    ends_.push_back({++last_end_, run, how, {}});
-    events_.push_back({event::kind::ended, run, how, now, last_end_});
+    ends_.push_back({++last_end_, run, final_state, {}});
+    events_.push_back({event::kind::ended, run, final_state, now, last_end_});
 }
 
 void order_backend::advance(time_point now) {
@@ -48,8 +48,8 @@
         if (state.done >= static_cast<double>(work_of(run.task).count()))
             ended.emplace_back(run, failing_.contains(run.task) ? run_state::failed : run_state::done);
     }
-    for (const auto& [run, how] : ended)
-        end(run, how, now);
+    for (const auto& [run, final_state] : ended)
+        end(run, final_state, now);
     if (clock_at(now) > lease_until_ms_ && has_lease_) {
         has_lease_ = false;
         last_end_before_lapse_ = last_end_;
@@ -133,7 +133,7 @@
     while (!ends_.empty() && ends_.front().number <= acknowledged_) {
         const listed_end& known = ends_.front();
         if (known.number > last_end_before_lapse_)
-            events_.push_back({event::kind::noted, known.run, known.how, now, known.number});
+            events_.push_back({event::kind::noted, known.run, known.final_state, now, known.number});
         ends_.pop_front();
     }
     if (action.renews)
--- a/standins/order_backend.h
+++ b/standins/order_backend.h
@@ -26,7 +26,7 @@
         enum class kind : std::uint8_t { started, ended, noted };
         kind what = kind::started;
         run_ref run;
-        run_state how = run_state::running;
+        run_state final_state = run_state::running;
         time_point at{};
         // Number of the end in this life; 0 if it is not listed.
         std::uint64_t end_number = 0;
@@ -74,7 +74,7 @@
     backend_reply stop(const backend_order& order, const stop_order& action, time_point now);
     backend_reply hold(const backend_order& order, const hold_order& action, time_point now);
     void extend_lease(std::int64_t until_ms, time_point now);
-    void end(const run_ref& run, run_state how, time_point now);
+    void end(const run_ref& run, run_state final_state, time_point now);
     milliseconds work_of(const task_ref& task) const;
 
     backend_profile profile_;
--- a/standins/order_wire.cpp
+++ b/standins/order_wire.cpp
@@ -96,8 +96,8 @@
                 {platform::task_name(run.run.task), run.run.run, run.checkpoint, run.percent, 0});
         json ended = json::array();
         for (const listed_end& end : reply.ended)
-            ended.push_back({end.number, platform::task_name(end.run.task), end.run.run, how_of(end.how),
-                             end.checkpoint});
+            ended.push_back({end.number, platform::task_name(end.run.task), end.run.run,
+                             how_of(end.final_state), end.checkpoint});
         body["Running"] = std::move(running);
         body["Ended"] = std::move(ended);
     }
--- a/tests/agent_core_test.cpp
+++ b/tests/agent_core_test.cpp
@@ -226,7 +226,7 @@
         higher_token_hold = hold;
     answer(*higher_token_hold, backend_verdict::accepted, {{run_of(0), {}, 10}});
     EXPECT_FALSE(take_order<start_order>());
-    advance_time(agent_limits{}.room_interval(1));
+    advance_time(agent_limits{}.capacity_report_interval(1));
     ASSERT_TRUE(last_report(run_of(0)));
     EXPECT_EQ(last_report(run_of(0))->state, run_state::running);
 }
@@ -300,7 +300,7 @@
         higher_token_hold = hold;
     ASSERT_TRUE(higher_token_hold);
     answer(*higher_token_hold, backend_verdict::accepted, {{run_of(0), {}, 5}}, {}, 1001);
-    advance_time(agent_limits{}.room_interval(1));
+    advance_time(agent_limits{}.capacity_report_interval(1));
     ASSERT_TRUE(last_report(run_of(0)));
     EXPECT_EQ(last_report(run_of(0))->state, run_state::running);
 }
--- a/tests/call_rate_limiter_test.cpp
+++ b/tests/call_rate_limiter_test.cpp
@@ -10,7 +10,7 @@
 constexpr call_rate_limiter_settings settings{.calls_per_second = 10,
                                               .burst = 5,
                                               .initial_backoff = milliseconds{100},
-                                              .maximum_backoff = milliseconds{1000}};
+                                              .max_backoff = milliseconds{1000}};
 
 // Guards against a loop of calls that exceeds this process's share of the call rate of the store.
 TEST(call_rate_limiter, spreads_calls_beyond_the_burst) {
--- a/tests/dispatch_simulation.h
+++ b/tests/dispatch_simulation.h
@@ -732,8 +732,8 @@
             if (backend_event.what == order_backend::event::kind::started)
                 check_start(node, backend_event.run);
             else if (backend_event.what == order_backend::event::kind::ended)
-                check_end(node, backend_event.run, backend_event.how);
-            else if (backend_event.how == run_state::done)
+                check_end(node, backend_event.run, backend_event.final_state);
+            else if (backend_event.final_state == run_state::done)
                 acknowledged_tasks_.insert(backend_event.run.task);
         }
     }
@@ -762,11 +762,11 @@
             add_violation("a start exceeds the capacity of " + node.name + ": " + task);
     }
 
-    void check_end(agent_node& node, const run_ref& run, run_state how) {
+    void check_end(agent_node& node, const run_ref& run, run_state final_state) {
         const auto found = running_.find(run.task);
         if (found != running_.end() && found->second.agent == node.name && found->second.run == run.run)
             running_.erase(found);
-        if (how == run_state::done)
+        if (final_state == run_state::done)
             succeeded_tasks_.insert(run.task);
     }
 
@@ -799,9 +799,9 @@
             if (!node->backend->running().empty())
                 add_violation("runs are still active at the backend server of " + node->name);
             for (const listed_end& end : listed_ends(*node))
-                add_violation("an end at the backend server of " + node->name +
-                              " was never acknowledged: " + task_text(end.run) + " " +
-                              std::string{to_string(end.how)} + " number " + std::to_string(end.number));
+                add_violation("an end at the backend server of " + node->name + " was never acknowledged: " +
+                              task_text(end.run) + " " + std::string{to_string(end.final_state)} +
+                              " number " + std::to_string(end.number));
         }
     }
 
--- a/tests/etcd_store_test.cpp
+++ b/tests/etcd_store_test.cpp
@@ -22,7 +22,7 @@
     settings.pacing.calls_per_second = 1000;
     settings.pacing.burst = 1000;
     settings.pacing.initial_backoff = milliseconds{1};
-    settings.pacing.maximum_backoff = milliseconds{10};
+    settings.pacing.max_backoff = milliseconds{10};
     return settings;
 }
 
--- a/tests/job_simulation.h
+++ b/tests/job_simulation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "coordination/agent_tasks.h"
+#include "coordination/agent_task_table.h"
 #include "coordination/job_table.h"
 #include "state/limits.h"
 
@@ -95,7 +95,7 @@
         epoch_number epoch = 0;
     };
     struct agent {
-        std::unique_ptr<agent_tasks> tasks;
+        std::unique_ptr<agent_task_table> tasks;
         incarnation id;
         epoch_number known_epoch = 0;
     };
@@ -147,12 +147,12 @@
     void start_agent(int index) {
         agent& started = agents_[index];
         started.id = {"agent-" + std::to_string(index), ++incarnations_};
-        started.tasks = std::make_unique<agent_tasks>(started.id, "zone", "rack");
+        started.tasks = std::make_unique<agent_task_table>(started.id, "zone", "rack");
         auto fleet = std::make_shared<fleet_view>();
         fleet->revision = 1;
         started.tasks->set_fleet(fleet, now_);
         started.tasks->extend_lease(now_ + std::chrono::hours{1}, now_);
-        started.tasks->set_recorded(now_);
+        started.tasks->mark_agent_recorded(now_);
         started.tasks->announced({service, "url", 2, 8, false}, now_);
         recorded_.insert(started.id);
         send_owner_table(started, epoch_);
@@ -258,7 +258,7 @@
             at(20, [this, index, stopping] { finish_stop(index, stopping); });
             return;
         }
-        const agent_departure parting{stopping, draining.tasks->known_jobs()};
+        const agent_departure parting{stopping, draining.tasks->known_job_hashes()};
         for (std::size_t o = 0; o < owners_.size(); ++o)
             deliver(o, index, [this, o, parting] {
                 if (owners_[o]->is_alive)
@@ -438,7 +438,7 @@
     void perform_agent(agent& acting, const agent_actions& actions) {
         for (const backend_call& call : actions.calls)
             start_task(acting, call);
-        for (const entry_send& send : actions.sends) {
+        for (const task_message_to_entry& send : actions.sends) {
             for (std::size_t o = 0; o < owners_.size(); ++o) {
                 if (owners_[o]->id == send.to)
                     send_to_owner(acting, o, send.message);
--- a/tests/load_simulation_test.cpp
+++ b/tests/load_simulation_test.cpp
@@ -96,8 +96,8 @@
     options.burst = 2;
     load_simulation infrequent{options};
     infrequent.run();
-    options.agent_settings.min_room_interval = 20ms;
-    options.agent_settings.room_interval_per_entry = 0ms;
+    options.agent_settings.min_capacity_report_interval = 20ms;
+    options.agent_settings.capacity_report_interval_per_entry = 0ms;
     load_simulation frequent{options};
     frequent.run();
     EXPECT_GE(infrequent.total().in_time, frequent.total().in_time);
--- a/tests/order_backend_test.cpp
+++ b/tests/order_backend_test.cpp
@@ -45,7 +45,7 @@
     const auto events = acknowledge(400ms);
     ASSERT_EQ(events.size(), 1U);
     EXPECT_EQ(events[0].what, order_backend::event::kind::noted);
-    EXPECT_EQ(events[0].how, run_state::done);
+    EXPECT_EQ(events[0].final_state, run_state::done);
     EXPECT_TRUE(acknowledge(450ms).empty());
 }
 
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -2,7 +2,7 @@
 #include "coordination/placement_least_completion.h"
 #include "coordination/placement_random.h"
 #include "coordination/placement_two_choices.h"
-#include "coordination/speed_estimate.h"
+#include "coordination/robust_average.h"
 #include "tests/scheduler_simulation.h"
 
 #include <cstdint>
@@ -107,8 +107,8 @@
 }
 
 // Guards against a speed estimate that is distorted by single long tasks or by a wrong initial value.
-TEST(speed_estimate, resists_outliers_and_a_wrong_prior) {
-    speed_estimate estimate;
+TEST(robust_average, resists_outliers_and_a_wrong_prior) {
+    robust_average estimate;
     for (int i = 0; i < 40; ++i)
         estimate.observe(i % 10 == 9 ? 20.0 : 0.2, 2.0);
     EXPECT_GT(estimate.value_or(0), 0.1);
@@ -117,8 +117,8 @@
 
 // Guards against a speed estimate that takes minutes to follow a backend server that became 20 times
 // slower.
-TEST(speed_estimate, adopts_a_lasting_change_within_ten_samples) {
-    speed_estimate estimate;
+TEST(robust_average, adopts_a_lasting_change_within_ten_samples) {
+    robust_average estimate;
     for (int i = 0; i < 100; ++i)
         estimate.observe(0.2, 0.2);
     for (int i = 0; i < 10; ++i)
--- a/tests/platform_codec_test.cpp
+++ b/tests/platform_codec_test.cpp
@@ -151,7 +151,7 @@
     EXPECT_EQ(reply.running[0].percent, 41U);
     EXPECT_EQ(reply.running[0].checkpoint, "cp");
     ASSERT_EQ(reply.ended.size(), 1U);
-    EXPECT_EQ(reply.ended[0].how, run_state::failed);
+    EXPECT_EQ(reply.ended[0].final_state, run_state::failed);
     EXPECT_EQ(reply.ended[0].number, 58U);
 }
 
--- a/tests/promise_check_test.cpp
+++ b/tests/promise_check_test.cpp
@@ -35,19 +35,25 @@
             is_late);
     }
 
-    void end(task_index index, run_number run, const backend_profile& at, run_state how) {
-        check_.run_event(
-            at,
-            {order_backend::event::kind::ended, {{"job", 0, 0, index}, run}, how, start_time, ++last_end_},
-            false);
+    void end(task_index index, run_number run, const backend_profile& at, run_state final_state) {
+        check_.run_event(at,
+                         {order_backend::event::kind::ended,
+                          {{"job", 0, 0, index}, run},
+                          final_state,
+                          start_time,
+                          ++last_end_},
+                         false);
     }
 
     // The end of the run was acknowledged and counts.
-    void log_job_end(task_index index, run_number run, run_state how) {
-        check_.run_event(
-            backend_,
-            {order_backend::event::kind::noted, {{"job", 0, 0, index}, run}, how, start_time, last_end_},
-            false);
+    void log_job_end(task_index index, run_number run, run_state final_state) {
+        check_.run_event(backend_,
+                         {order_backend::event::kind::noted,
+                          {{"job", 0, 0, index}, run},
+                          final_state,
+                          start_time,
+                          last_end_},
+                         false);
     }
 
     void expect_broken(const std::string& promise) {
--- a/tests/standin_wire_test.cpp
+++ b/tests/standin_wire_test.cpp
@@ -115,7 +115,7 @@
     EXPECT_EQ(got.verdict, backend_verdict::accepted);
     EXPECT_EQ(got.life, 22U);
     EXPECT_EQ(got.running.at(0).percent, 40U);
-    EXPECT_EQ(got.ended.at(0).how, run_state::failed);
+    EXPECT_EQ(got.ended.at(0).final_state, run_state::failed);
     for (const backend_verdict refusal :
          {backend_verdict::fenced, backend_verdict::old_run, backend_verdict::late, backend_verdict::no_room,
           backend_verdict::unhealthy}) {
