--- a/coordination/commit_queue.cpp
+++ b/coordination/commit_queue.cpp
@@ -93,14 +93,14 @@
         status.owner = session_;
         call.conditions.push_back({job_key(request.job), 0});
         call.puts.push_back({job_key(request.job), status});
-        call.puts.push_back({open_key(session_, request.job), *accept->record});
+        call.puts.push_back({open_job_key(session_, request.job), *accept->record});
     } else if (const auto* progress = std::get_if<progress_commit>(&request.change)) {
-        const std::string key = open_key(progress->record_session, request.job);
+        const std::string key = open_job_key(progress->record_session, request.job);
         call.conditions.push_back({key, progress->revision});
         call.puts.push_back({key, *progress->record});
     } else if (const auto* end = std::get_if<end_commit>(&request.change)) {
         call.puts.push_back({job_key(request.job), end->status});
-        call.removals.push_back(open_key(end->record_session, request.job));
+        call.removals.push_back(open_job_key(end->record_session, request.job));
     } else {
         call.removals.push_back(job_key(request.job));
     }
@@ -224,7 +224,7 @@
             retried_commits.push_back(std::move(request));
             continue;
         }
-        const store_item* item = find_item(reply, open_key(progress->record_session, request.job));
+        const store_item* item = find_item(reply, open_job_key(progress->record_session, request.job));
         const auto* stored = item != nullptr ? std::get_if<open_job>(&item->value) : nullptr;
         if (stored == nullptr) {
             results_.push_back({std::move(request), commit_outcome::conflict, 0, {}});
--- a/coordination/entry_agents.cpp
+++ b/coordination/entry_agents.cpp
@@ -76,7 +76,7 @@
 
 // False if the entry may have been deposed without knowing it. It must not renew the leases of runs then.
 bool entry_core::is_ownership_certain(time_point now) const {
-    return session().number != 0 && now - keeper_.last_contact() < limits_.store_contact_timeout;
+    return session().number != 0 && now - session_manager_.last_contact() < limits_.store_contact_timeout;
 }
 
 void entry_core::update_free_capacity(agent_view& agent, const agent_free_capacity& room) {
@@ -167,7 +167,7 @@
 }
 
 void entry_core::process_orphan_check(std::uint64_t question, const store_reply& answer, time_point now) {
-    const std::optional<orphan_runs::orphan> unclaimed = orphans_.answered(question, answer, now);
+    const std::optional<orphan_run_tracker::orphan> unclaimed = orphans_.handle_reply(question, answer, now);
     if (!unclaimed)
         return;
     const agent_view* agent = agents_.find_by_number(unclaimed->agent);
--- a/coordination/entry_callers.cpp
+++ b/coordination/entry_callers.cpp
@@ -59,7 +59,7 @@
     }
     // A non-durable job that arrives on a connection that is still open can end before the process exits.
     const bool can_finish_before_exit =
-        !request.plan.is_durable && !keeper_.has_left() && now < hand_over_at_;
+        !request.plan.is_durable && !session_manager_.has_left() && now < hand_over_at_;
     if (now >= refuse_at_ && !can_finish_before_exit) {
         refuse(request, submit_refusal::shutting_down, milliseconds{0});
         return;
--- a/coordination/entry_core.cpp
+++ b/coordination/entry_core.cpp
@@ -25,7 +25,7 @@
     , name_{self.session.name}
     , zone_{self.zone}
     , limits_{limits}
-    , keeper_{std::move(self), std::move(next_session), seed}
+    , session_manager_{std::move(self), std::move(next_session), seed}
     , operator_records_{config_prefix, limits.max_config_delay / config_watch_divisor}
     , planner_{zone_, limits.remote_data_factor, seed} {}
 
@@ -137,12 +137,12 @@
     for (commit_queue::write& write : commits_.take_writes(now))
         send(store_call_source::commits, write.id, std::move(write.call), write.timeout);
     if (is_session_update_needed_) {
-        for (session_keeper::call& call : keeper_.take_calls(now))
+        for (session_manager::call& call : session_manager_.take_calls(now))
             send(store_call_source::keeper, call.id, std::move(call.what), call.timeout);
     }
     for (prefix_view::call& call : operator_records_.take_calls(now))
         send(store_call_source::operators, call.id, std::move(call.what), call.timeout);
-    for (const auto& [question, job] : orphans_.take_questions(is_first_entry(), now))
+    for (const auto& [question, job] : orphans_.take_queries(is_first_entry(), now))
         send(store_call_source::orphans, question, store_read{job_key(job)}, read_timeout);
     for (job_locator::read& read : locator_.take_reads())
         send(store_call_source::locator, read.id, store_read{job_key(read.job)}, read_timeout);
@@ -159,12 +159,12 @@
     switch (source) {
     case store_call_source::commits:
         if (commits_.replied(own_id, answer, now))
-            keeper_.deposed(now);
+            session_manager_.deposed(now);
         for (const commit_result& result : commits_.take_results())
             process_commit_result(result, now);
         break;
     case store_call_source::keeper:
-        keeper_.replied(own_id, answer, now);
+        session_manager_.replied(own_id, answer, now);
         for (auto& [number, agent] : agents_.all()) {
             const bool is_recorded = members().agents().contains(agent.name);
             if (is_recorded != agent.is_recorded) {
@@ -201,17 +201,17 @@
         if (agent.link != 0 && !agent.is_recorded)
             missing.push_back({agent.name, agent.profile.zone});
     }
-    keeper_.need_agents(missing, now);
-    if (now >= refuse_at_ && !keeper_.has_left()) {
+    session_manager_.set_needed_agents(missing, now);
+    if (now >= refuse_at_ && !session_manager_.has_left()) {
         if (ledger_.jobs().empty() || now >= hand_over_at_)
-            keeper_.leave(ledger_.jobs().empty(), now);
+            session_manager_.leave(ledger_.jobs().empty(), now);
     }
     // Placement also depends on time: jobs become late, and agents that refused a run can be used again.
     is_plan_needed_ = true;
 }
 
 time_point entry_core::next_wakeup(time_point now) const {
-    time_point next = keeper_.next_wakeup(now);
+    time_point next = session_manager_.next_wakeup(now);
     if (const auto due = commits_.next_wakeup())
         next = std::min(next, *due);
     if (const auto due = locator_.next_wakeup())
@@ -230,7 +230,7 @@
         update_sessions(now);
     for (const job_locator::own_job& lookup : locator_.take_own_jobs())
         answer_own_job(lookup, now);
-    for (auto& [owner, question] : locator_.take_questions()) {
+    for (auto& [owner, question] : locator_.take_queries()) {
         for (const auto& [link, peer] : peers_) {
             if (peer.session == owner)
                 output_.messages.emplace_back(link, question);
@@ -247,7 +247,7 @@
     }
     acknowledgements_.clear();
     collect_store_calls(now);
-    // keeper_.take_calls in collect_store_calls may have begun a session.
+    // session_manager_.take_calls in collect_store_calls may have begun a session.
     is_session_update_needed_ = known_session_ != session();
     return std::exchange(output_, {});
 }
--- a/coordination/entry_core.h
+++ b/coordination/entry_core.h
@@ -1,5 +1,6 @@
 #pragma once
 
+#include "coordination/adoption_progress.h"
 #include "coordination/agent_directory.h"
 #include "coordination/commit_queue.h"
 #include "coordination/ended_jobs.h"
@@ -8,12 +9,11 @@
 #include "coordination/job_ledger.h"
 #include "coordination/job_locator.h"
 #include "coordination/job_submission.h"
-#include "coordination/orphan_runs.h"
+#include "coordination/orphan_run_tracker.h"
 #include "coordination/prefix_view.h"
 #include "coordination/run_planner.h"
 #include "coordination/run_time_model.h"
-#include "coordination/session_keeper.h"
-#include "coordination/succession.h"
+#include "coordination/session_manager.h"
 #include "coordination/waiting_callers.h"
 #include "state/clock_source.h"
 #include "state/deployment_config.h"
@@ -77,11 +77,11 @@
     // Answers all callers that still wait, with an uncertain outcome, and stops the runs of their non-durable
     // jobs. Called right before the process exits.
     void answer_waiting_callers();
-    bool has_left() const { return keeper_.has_left(); }
+    bool has_left() const { return session_manager_.has_left(); }
     bool is_shutting_down() const { return is_shutting_down_; }
 
-    const incarnation& session() const { return keeper_.session(); }
-    const member_directory& members() const { return keeper_.members(); }
+    const incarnation& session() const { return session_manager_.session(); }
+    const member_directory& members() const { return session_manager_.members(); }
     std::size_t connected_agents() const;
     std::size_t open_jobs() const { return ledger_.jobs().size(); }
     // Links to the connected entries, by name.
@@ -162,7 +162,7 @@
     // Sessions.
     void update_sessions(time_point now);
     void take_adopted(time_point now);
-    bool can_settle(const succession& state, time_point now) const;
+    bool can_settle(const adoption_progress& state, time_point now) const;
     void settle_successions(time_point now);
     void record_succession_answer(const std::string& agent, const incarnation& former);
     void process_session_loss(time_point now);
@@ -184,7 +184,7 @@
     std::string zone_;
     entry_limits limits_;
     std::shared_ptr<const deployment_config> config_;
-    session_keeper keeper_;
+    session_manager session_manager_;
     incarnation known_session_;
     prefix_view operator_records_;
     commit_queue commits_;
@@ -193,14 +193,14 @@
     agent_directory agents_;
     run_time_model run_time_model_;
     run_planner planner_;
-    std::map<incarnation, succession> successions_;
+    std::map<incarnation, adoption_progress> successions_;
 
     std::map<link_number, peer_state> peers_;
     ended_jobs ended_jobs_;
     // Callers that wait for the acceptance of a job, and callers that wait for its end.
     waiting_callers acceptance_waiters_;
     waiting_callers end_waiters_;
-    orphan_runs orphans_;
+    orphan_run_tracker orphans_;
     // Numbers of the recorded ends of runs to acknowledge, by agent and life of its backend server.
     std::map<std::pair<agent_number, std::uint64_t>, std::vector<std::uint64_t>> acknowledgements_;
 
--- a/coordination/entry_sessions.cpp
+++ b/coordination/entry_sessions.cpp
@@ -19,13 +19,13 @@
     std::set<incarnation> connected;
     for (const auto& [link, peer] : peers_)
         connected.insert(peer.session);
-    keeper_.set_connected(std::move(connected));
+    session_manager_.set_connected(std::move(connected));
     if (known_session_ != session()) {
         if (!known_session_.name.empty())
             process_session_loss(now);
         known_session_ = session();
         if (!known_session_.name.empty())
-            commits_.set_session(session(), keeper_.entry_revision());
+            commits_.set_session(session(), session_manager_.entry_revision());
         for (const auto& [link, peer] : peers_)
             output_.messages.emplace_back(link, peer_hello{name_, session()});
         send_welcome_to_all();
@@ -37,7 +37,7 @@
     }
     take_adopted(now);
     settle_successions(now);
-    for (decision& made : keeper_.take_decisions())
+    for (decision& made : session_manager_.take_decisions())
         output_.decisions.push_back(std::move(made));
 }
 
@@ -67,15 +67,15 @@
 }
 
 void entry_core::take_adopted(time_point now) {
-    for (session_keeper::adopted_jobs& adopted : keeper_.take_adopted()) {
+    for (session_manager::adopted_jobs& adopted : session_manager_.take_adopted()) {
         const incarnation& former = adopted.record.former;
-        const std::string prefix = open_prefix(former);
-        succession& state = successions_[former];
+        const std::string prefix = open_job_prefix(former);
+        adoption_progress& state = successions_[former];
         state.record = adopted.record;
         for (const auto& [name, agent] : members().agents())
-            state.unanswered.insert(name);
-        state.certain_at = now + owner_contact_lease + limits_.run_lease_bound() +
-                           (adopted.may_live ? limits_.store_contact_timeout : milliseconds{0});
+            state.unanswered_agents.insert(name);
+        state.runs_ended_by = now + owner_contact_lease + limits_.run_lease_bound() +
+                              (adopted.may_be_running ? limits_.store_contact_timeout : milliseconds{0});
         for (const store_item& item : adopted.jobs) {
             const auto* record = std::get_if<open_job>(&item.value);
             const job_id id = item.key.substr(prefix.size());
@@ -106,30 +106,30 @@
 void entry_core::record_succession_answer(const std::string& agent, const incarnation& former) {
     const auto found = successions_.find(former);
     if (found != successions_.end())
-        found->second.unanswered.erase(agent);
+        found->second.unanswered_agents.erase(agent);
 }
 
 // A session that adopted these jobs and is now adopted itself may have started runs of them. Its adoption has
 // a smaller depth and must be settled before this one. All of them are adopted together.
-bool entry_core::can_settle(const succession& state, time_point now) const {
+bool entry_core::can_settle(const adoption_progress& state, time_point now) const {
     const bool is_waiting = std::any_of(successions_.begin(), successions_.end(), [&](const auto& other) {
         return !other.second.is_settled &&
                other.second.record.succession_count < state.record.succession_count;
     });
-    return !is_waiting && !keeper_.is_adopting_below(state.record.succession_count) &&
-           (state.unanswered.empty() || now >= state.certain_at);
+    return !is_waiting && !session_manager_.is_adopting_below(state.record.succession_count) &&
+           (state.unanswered_agents.empty() || now >= state.runs_ended_by);
 }
 
 void entry_core::settle_successions(time_point now) {
     for (auto it = successions_.begin(); it != successions_.end();) {
-        succession& state = it->second;
+        adoption_progress& state = it->second;
         if (!state.is_settled && can_settle(state, now)) {
             state.is_settled = true;
             // Other successions may wait for this one.
             is_session_update_needed_ = true;
             record_decision("runs of a former session are settled", {},
                             {{"former", session_text(it->first)},
-                             {"unanswered", static_cast<std::int64_t>(state.unanswered.size())}});
+                             {"unanswered", static_cast<std::int64_t>(state.unanswered_agents.size())}});
             for (auto& [id, job] : ledger_.jobs()) {
                 if (job.record_session == it->first)
                     job.is_settled = true;
@@ -140,7 +140,7 @@
             std::any_of(ledger_.jobs().begin(), ledger_.jobs().end(),
                         [&](const auto& entry) { return entry.second.record_session == it->first; });
         if (state.is_settled && !has_jobs) {
-            keeper_.adoption_done(it->first, now);
+            session_manager_.end_adoption(it->first, now);
             if (!members().adoptions().contains(it->first)) {
                 it = successions_.erase(it);
                 continue;
--- a/coordination/grantor.cpp
+++ b/coordination/grantor.cpp
@@ -1,6 +1,6 @@
 #include "coordination/grantor.h"
 
-#include "coordination/grant_set.h"
+#include "coordination/majority.h"
 #include "coordination/ownership_limits.h"
 #include "state/limits.h"
 
@@ -37,7 +37,7 @@
         return reply;
     reply.granted = request.revision >= own_revision;
     for (const incarnation& agent : request.new_agents)
-        record(agent, now);
+        record_agent(agent, now);
     drop_replaced_records(now);
     reply.recorded = request.new_agents;
     return reply;
@@ -45,7 +45,7 @@
 
 table_ack grantor::push(const owner_table& table, time_point now) {
     finish_recovery(now);
-    adopt(table, now);
+    adopt_table(table, now);
     if (table.grantors.empty())
         start_without_recovery(table);
     table_ack ack;
@@ -56,14 +56,14 @@
     return ack;
 }
 
-std::optional<recovery_request> grantor::recovery_due(time_point now) {
+std::optional<recovery_request> grantor::take_recovery_request(time_point now) {
     finish_recovery(now);
-    const bool may_be_named = is_named() || table_.grantors.size() < maximum_grantors;
-    if (!recovering_ || table_.grantors.empty() || !may_be_named || recovery_ends_at_)
+    const bool may_become_grantor = is_named_in_table() || table_.grantors.size() < max_grantors;
+    if (!recovering_ || table_.grantors.empty() || !may_become_grantor || recovery_ends_at_)
         return std::nullopt;
-    if (asked_at_ && now - *asked_at_ < grant_renewal_interval)
+    if (recovery_requested_at_ && now - *recovery_requested_at_ < grant_renewal_interval)
         return std::nullopt;
-    asked_at_ = now;
+    recovery_requested_at_ = now;
     return recovery_request{self_, recovery_nonce};
 }
 
@@ -73,14 +73,14 @@
     return recovery_reply{request.requester, request.nonce, self_, table_, recorded_agents()};
 }
 
-void grantor::recovered(const recovery_reply& reply, time_point now) {
+void grantor::handle_recovery_reply(const recovery_reply& reply, time_point now) {
     if (!recovering_ || reply.requester != self_ || reply.nonce != recovery_nonce ||
         reply.grantor.name == self_.name)
         return;
     for (const incarnation& agent : reply.recorded)
-        record(agent, now);
+        record_agent(agent, now);
     recovery_repliers_.insert(reply.grantor.name);
-    adopt(reply.table, now);
+    adopt_table(reply.table, now);
     check_recovery_majority(now);
 }
 
@@ -88,21 +88,22 @@
     return partition < table_.partitions.size() ? table_.partitions[partition].epoch : 0;
 }
 
-bool grantor::is_named() const {
+bool grantor::is_named_in_table() const {
     return contains(table_.grantors, self_.name);
 }
 
-void grantor::adopt(const owner_table& table, time_point now) {
+void grantor::adopt_table(const owner_table& table, time_point now) {
     if (table.version <= table_.version)
         return;
     table_ = table;
-    std::erase_if(owner_heard_at_, [&](const auto& heard) { return !has_entry(table_, heard.first); });
+    std::erase_if(last_owner_request_at_,
+                  [&](const auto& last_request) { return !has_entry(table_, last_request.first); });
     for (const entry_address& entry : table_.entries)
-        owner_heard_at_.try_emplace(entry.entry, now);
+        last_owner_request_at_.try_emplace(entry.entry, now);
     const bool follows_bootstrap_table =
         bootstrap_table_version_ && table_.version == *bootstrap_table_version_ + 1;
     bootstrap_table_version_.reset();
-    if (follows_bootstrap_table && is_named())
+    if (follows_bootstrap_table && is_named_in_table())
         recovering_ = false;
     check_recovery_majority(now);
 }
@@ -113,7 +114,7 @@
     if (table.version == table_.version)
         bootstrap_table_version_ = table.version;
     // The first table with grantors arrived before the table without grantors that precedes it.
-    else if (table.version + 1 == table_.version && is_named())
+    else if (table.version + 1 == table_.version && is_named_in_table())
         recovering_ = false;
 }
 
@@ -123,10 +124,10 @@
 void grantor::check_recovery_majority(time_point now) {
     if (!recovering_)
         return;
-    const auto answered = [&](const std::string& name) {
+    const auto has_replied = [&](const std::string& name) {
         return name != self_.name && recovery_repliers_.contains(name);
     };
-    if (!majority_satisfies(table_.grantors, answered))
+    if (!majority_satisfies(table_.grantors, has_replied))
         recovery_ends_at_.reset();
     else if (!recovery_ends_at_)
         recovery_ends_at_ = now + grant_period;
@@ -142,16 +143,16 @@
 // The incarnation recorded last counts as the live one of its name. Entries send live agents again
 // periodically, so a delayed message about an earlier incarnation cannot make this grantor drop the record of
 // a live one.
-void grantor::record(const incarnation& agent, time_point now) {
-    records_[agent] = std::nullopt;
-    for (auto& [other, replaced_at] : records_) {
+void grantor::record_agent(const incarnation& agent, time_point now) {
+    agent_records_[agent] = std::nullopt;
+    for (auto& [other, replaced_at] : agent_records_) {
         if (other.name == agent.name && other != agent && !replaced_at)
             replaced_at = now;
     }
 }
 
 void grantor::drop_replaced_records(time_point now) {
-    std::erase_if(records_, [&](const auto& entry) {
+    std::erase_if(agent_records_, [&](const auto& entry) {
         return entry.second && now - *entry.second >= deduplication_window;
     });
 }
@@ -160,17 +161,17 @@
 // disconnected, and its queue may still hold requests from every owner. Silence is then measured from now.
 void grantor::record_request_from(const incarnation& owner, time_point now) {
     if (now - last_request_at_ > owner_silence_timeout) {
-        for (auto& [entry, heard_at] : owner_heard_at_)
-            heard_at = now;
+        for (auto& [entry, request_at] : last_owner_request_at_)
+            request_at = now;
     }
     last_request_at_ = now;
-    owner_heard_at_[owner] = now;
+    last_owner_request_at_[owner] = now;
 }
 
 std::vector<incarnation> grantor::recorded_agents() const {
     std::vector<incarnation> agents;
-    agents.reserve(records_.size());
-    for (const auto& [agent, replaced_at] : records_)
+    agents.reserve(agent_records_.size());
+    for (const auto& [agent, replaced_at] : agent_records_)
         agents.push_back(agent);
     return agents;
 }
@@ -178,8 +179,9 @@
 std::vector<incarnation> grantor::silent_owners(time_point now) const {
     std::vector<incarnation> silent;
     for (const entry_address& entry : table_.entries) {
-        const auto heard = owner_heard_at_.find(entry.entry);
-        if (heard != owner_heard_at_.end() && now - heard->second > owner_silence_timeout)
+        const auto last_request = last_owner_request_at_.find(entry.entry);
+        if (last_request != last_owner_request_at_.end() &&
+            now - last_request->second > owner_silence_timeout)
             silent.push_back(entry.entry);
     }
     return silent;
--- a/coordination/grantor.h
+++ b/coordination/grantor.h
@@ -34,12 +34,12 @@
     table_ack push(const owner_table& table, time_point now);
 
     // Returns a request to send to all connected entries during recovery, at most once per renewal interval.
-    std::optional<recovery_request> recovery_due(time_point now);
+    std::optional<recovery_request> take_recovery_request(time_point now);
     // Returns the reply to another grantor or to a new owner; nullopt while this grantor is itself
     // recovering.
     std::optional<recovery_reply> answer(const recovery_request& request) const;
-    // Handles another grantor's reply to the request of recovery_due.
-    void recovered(const recovery_reply& reply, time_point now);
+    // Handles another grantor's reply to the request of take_recovery_request.
+    void handle_recovery_reply(const recovery_reply& reply, time_point now);
 
     // True until this grantor may grant leases. An agent that may become a grantor recovers before the table
     // names it.
@@ -49,13 +49,13 @@
     epoch_number epoch_of(partition_id partition) const;
 
 private:
-    bool is_named() const;
-    void adopt(const owner_table& table, time_point now);
+    bool is_named_in_table() const;
+    void adopt_table(const owner_table& table, time_point now);
     void start_without_recovery(const owner_table& table);
     void check_recovery_majority(time_point now);
     void finish_recovery(time_point now);
     void record_request_from(const incarnation& owner, time_point now);
-    void record(const incarnation& agent, time_point now);
+    void record_agent(const incarnation& agent, time_point now);
     void drop_replaced_records(time_point now);
     std::vector<incarnation> recorded_agents() const;
     std::vector<incarnation> silent_owners(time_point now) const;
@@ -68,15 +68,15 @@
     // Names of the grantors that replied to a recovery request.
     std::set<std::string> recovery_repliers_;
     // Time of the latest recovery request.
-    std::optional<time_point> asked_at_;
+    std::optional<time_point> recovery_requested_at_;
     // Set once a majority has replied; one grant period after that.
     std::optional<time_point> recovery_ends_at_;
     // Time from which each owner's silence is measured.
-    std::map<incarnation, time_point> owner_heard_at_;
+    std::map<incarnation, time_point> last_owner_request_at_;
     time_point last_request_at_;
     // Recorded agent incarnations. The value is the time at which a later record of the same name replaced
     // this one, if any.
-    std::map<incarnation, std::optional<time_point>> records_;
+    std::map<incarnation, std::optional<time_point>> agent_records_;
 };
 
 } // namespace persimmonstile
--- a/coordination/job_locator.h
+++ b/coordination/job_locator.h
@@ -40,7 +40,7 @@
 
     std::vector<store_read> take_reads() { return std::exchange(reads_, {}); }
     // Questions to be sent to the owners of jobs.
-    std::vector<std::pair<incarnation, job_lookup_request>> take_questions() {
+    std::vector<std::pair<incarnation, job_lookup_request>> take_queries() {
         return std::exchange(questions_, {});
     }
     std::vector<caller_reply> take_replies() { return std::exchange(replies_, {}); }
--- a/coordination/job_table.cpp
+++ b/coordination/job_table.cpp
@@ -103,7 +103,7 @@
     partition.is_first_epoch = gained.is_first_epoch;
     partition.known_since = wall_now;
     partition.inherited_jobs.clear();
-    partition.suspects = {gained.suspects.begin(), gained.suspects.end()};
+    partition.previous_agents = {gained.previous_agents.begin(), gained.previous_agents.end()};
     return {};
 }
 
@@ -210,7 +210,7 @@
         return;
     }
     record.phase = owned_job_phase::querying;
-    for (const incarnation& agent : partition.suspects) {
+    for (const incarnation& agent : partition.previous_agents) {
         if (has_departed_without(agent, request.job))
             continue;
         if (gone_agents_.contains(agent)) {
@@ -249,7 +249,7 @@
 }
 
 bool job_table::needs_query(const job_id& job, const owned_partition& partition) const {
-    if (partition.suspects.empty())
+    if (partition.previous_agents.empty())
         return false;
     if (partition.inherited_jobs.contains(hash_job_id(job)))
         return true;
--- a/coordination/job_table.h
+++ b/coordination/job_table.h
@@ -65,7 +65,7 @@
         // Hashes of the job ids that the former owner listed in its handover.
         std::unordered_set<std::uint64_t> inherited_jobs;
         // Agents that may have started tasks under earlier epochs.
-        std::set<incarnation> suspects;
+        std::set<incarnation> previous_agents;
     };
     // An agent that stopped as planned, with the hashes of the job ids that it listed.
     struct departed_agent {
--- a/coordination/key_value_store.h
+++ b/coordination/key_value_store.h
@@ -55,8 +55,8 @@
 // a plain get may return a stale value from a replica. The call counts as a write towards the store's rate
 // limit.
 template <key_value_store Store> get_result get_ordered_with_writes(Store& store, const std::string& key) {
-    constexpr store_revision never = std::numeric_limits<std::int64_t>::max();
-    swap_result result = store.compare_and_swap(key, std::string{}, never);
+    constexpr store_revision impossible_revision = std::numeric_limits<std::int64_t>::max();
+    swap_result result = store.compare_and_swap(key, std::string{}, impossible_revision);
     if (auto* const lost = std::get_if<store_lost_race>(&result)) {
         if (lost->current)
             return *std::move(lost->current);
--- a/coordination/member_directory.cpp
+++ b/coordination/member_directory.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Returns the key without the prefix, or nullopt if the key does not start with it.
-std::optional<std::string> rest_after(const std::string& key, std::string_view prefix) {
+std::optional<std::string> without_prefix(const std::string& key, std::string_view prefix) {
     if (!key.starts_with(prefix))
         return std::nullopt;
     return key.substr(prefix.size());
@@ -17,16 +17,16 @@
 
 // Inverse of session_text.
 std::optional<incarnation> parse_session(const std::string& text) {
-    const std::size_t plus = text.rfind('+');
-    if (plus == std::string::npos)
+    const std::size_t separator = text.rfind('+');
+    if (separator == std::string::npos)
         return std::nullopt;
     std::uint64_t number = 0;
-    for (const char digit : text.substr(plus + 1)) {
+    for (const char digit : text.substr(separator + 1)) {
         if (digit < '0' || digit > '9')
             return std::nullopt;
         number = number * 10 + static_cast<std::uint64_t>(digit - '0');
     }
-    return incarnation{text.substr(0, plus), number};
+    return incarnation{text.substr(0, separator), number};
 }
 
 } // namespace
@@ -50,13 +50,13 @@
 void member_directory::apply(const store_item& item, time_point now) {
     ++version_;
     const bool is_deleted = item.revision == 0;
-    if (const auto name = rest_after(item.key, entry_prefix)) {
+    if (const auto name = without_prefix(item.key, entry_prefix)) {
         const auto* record = std::get_if<entry_record>(&item.value);
         if (is_deleted || record == nullptr)
             entries_.erase(*name);
         else
             entries_[*name] = {*record, item.revision};
-    } else if (const auto text = rest_after(item.key, alive_prefix)) {
+    } else if (const auto text = without_prefix(item.key, liveness_prefix)) {
         if (is_deleted) {
             alive_.erase(*text);
             missing_since_.try_emplace(*text, now);
@@ -64,7 +64,7 @@
             alive_.insert(*text);
             missing_since_.erase(*text);
         }
-    } else if (const auto adopted = rest_after(item.key, adopted_prefix)) {
+    } else if (const auto adopted = without_prefix(item.key, adopted_prefix)) {
         const auto session = parse_session(*adopted);
         if (!session)
             return;
@@ -73,7 +73,7 @@
             adoptions_.erase(*session);
         else
             adoptions_[*session] = {*record, item.revision};
-    } else if (const auto agent = rest_after(item.key, agent_prefix)) {
+    } else if (const auto agent = without_prefix(item.key, agent_prefix)) {
         const auto* record = std::get_if<agent_record>(&item.value);
         if (is_deleted || record == nullptr)
             agents_.erase(*agent);
--- a/coordination/orphan_runs.h
+++ b/coordination/orphan_run_tracker.h
@@ -15,7 +15,7 @@
 
 // Tracks runs that restarted agents found on their backend servers and that no entry has claimed. A run is an
 // orphan if its job is not in the store or has ended: no entry will claim it.
-class orphan_runs {
+class orphan_run_tracker {
 public:
     struct orphan {
         agent_number agent = 0;
@@ -27,22 +27,22 @@
 
     // Returns the store queries that are due: the id of the query and the job whose record it reads. Shared
     // runs are included only if includes_shared is set.
-    std::vector<std::pair<std::uint64_t, job_id>> take_questions(bool includes_shared, time_point now);
+    std::vector<std::pair<std::uint64_t, job_id>> take_queries(bool includes_shared, time_point now);
 
     // Handles the store's reply to a query. Returns the run if it is an orphan.
-    std::optional<orphan> answered(std::uint64_t question, const store_reply& answer, time_point now);
+    std::optional<orphan> handle_reply(std::uint64_t query_id, const store_reply& answer, time_point now);
 
 private:
-    struct check {
+    struct pending_check {
         orphan run;
         bool is_shared = false;
         // Id of the query in flight; 0 if there is none.
-        std::uint64_t question = 0;
-        time_point ask_at{};
+        std::uint64_t query_id = 0;
+        time_point next_query_at{};
     };
 
-    std::map<run_ref, check> checks_;
-    std::uint64_t last_question_ = 0;
+    std::map<run_ref, pending_check> pending_checks_;
+    std::uint64_t last_query_id_ = 0;
 };
 
 } // namespace persimmonstile
--- a/coordination/ownership.h
+++ b/coordination/ownership.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "coordination/ownership_actions.h"
+#include "coordination/partition_takeover.h"
 #include "coordination/store_rate_limiter.h"
 #include "coordination/table_change.h"
-#include "coordination/takeover.h"
 #include "state/grant_reply.h"
 #include "state/limits.h"
 #include "state/recovery_reply.h"
@@ -28,9 +28,9 @@
 // caller performs the returned actions and reports their results.
 class ownership {
 public:
-    // self and address are written into the table. minimum_grantors is the number of connected agents that
+    // self and address are written into the table. min_grantors is the number of connected agents that
     // the first entry waits for before it creates the table.
-    ownership(incarnation self, std::string address, std::size_t minimum_grantors);
+    ownership(incarnation self, std::string address, std::size_t min_grantors);
 
     // Handles the result of a read_table action: the store's table and its modification revision; nullopt if
     // the key does not exist. A table from a watch goes to table_received, because only a read that was
@@ -52,12 +52,12 @@
     ownership_actions records_replied(const recovery_reply& reply, time_point now);
 
     // Sets the configuration revision that grant requests carry.
-    void set_revision(config_revision revision);
+    void set_config_revision(config_revision revision);
 
     // Starts to leave the table: the partitions move to the other entries.
     ownership_actions leave(time_point now);
     // True after leave() once the table no longer names this entry, or if no other entry could take over.
-    bool left() const;
+    bool has_left() const;
 
     // Performs the steps that are due. Must be called at least every 50 ms.
     ownership_actions tick(time_point now);
@@ -81,10 +81,10 @@
     };
     struct agent_state {
         incarnation id;
-        bool connected = false;
+        bool is_connected = false;
         time_point first_connected_at;
         // Time of the last connect or disconnect.
-        time_point changed_at;
+        time_point connection_changed_at;
         // Newest table version that this incarnation knows, and newest that it acknowledged while not
         // recovering.
         table_version known = 0;
@@ -92,10 +92,10 @@
         bool recovering = true;
         std::uint64_t last_sequence = 0;
         // Sending time of the latest request that was answered.
-        std::optional<time_point> answered;
-        std::optional<time_point> lease_until;
+        std::optional<time_point> last_answered_at;
+        std::optional<time_point> lease_expires_at;
         // Owners that the agent reported as silent in its latest reply.
-        std::vector<incarnation> silent;
+        std::vector<incarnation> reported_silent;
         // The agent acknowledged a table without grantors that was read after it connected, so it can accept
         // the first table without recovery.
         bool accepts_first_table = false;
@@ -105,20 +105,20 @@
     // Confirmations of an agent's record until a majority of the grantors has confirmed it. An inherited
     // agent was recorded under an earlier table and may have ended since.
     struct pending_record {
-        bool inherited = false;
+        bool is_inherited = false;
         std::map<incarnation, record_confirmation> confirmations;
     };
     struct grantor_change {
         std::string name;
-        bool added = false;
+        bool is_added = false;
     };
     // Outcome of the latest read that found no table, or one without grantors.
     struct bootstrap_read {
-        time_point asked_at;
+        time_point requested_at;
         table_version version = 0;
     };
 
-    void adopt(const owner_table& table, time_point now, ownership_actions& actions);
+    void adopt_table(const owner_table& table, time_point now, ownership_actions& actions);
     void start_takeover(const owner_table& previous, const std::map<partition_id, epoch_number>& own);
     void record_predecessors();
     bool is_successor(const incarnation& entry) const;
@@ -130,7 +130,7 @@
     std::vector<incarnation> agents_to_record(bool refresh) const;
     void update_record_confirmations(const grant_reply& reply, time_point sent, time_point now);
     bool is_confirmed(const pending_record& record) const;
-    void inherit_records(const takeover& completed);
+    void inherit_records(const partition_takeover& completed);
     bool has_inherited_records() const;
     void exchange_tables(const agent_state& agent, table_version known, time_point now,
                          ownership_actions& actions);
@@ -138,10 +138,10 @@
     agent_state* find_agent(const incarnation& agent);
     const agent_state* find_grantor(const std::string& name) const;
 
-    void propose(time_point now, ownership_actions& actions);
+    void propose_next_table(time_point now, ownership_actions& actions);
     void propose_first_table(time_point now, ownership_actions& actions);
     void propose_change(time_point now, ownership_actions& actions);
-    void read(time_point now, ownership_actions& actions);
+    void request_table_read(time_point now, ownership_actions& actions);
     void write(owner_table table, time_point now, ownership_actions& actions);
     entry_change plan_entries(time_point now) const;
     std::optional<grantor_change> plan_grantors(time_point now) const;
@@ -160,40 +160,40 @@
 
     incarnation self_;
     std::string address_;
-    std::size_t minimum_grantors_;
+    std::size_t min_grantors_;
     owner_table table_;
-    config_revision revision_ = 0;
+    config_revision config_revision_ = 0;
 
     // Partitions that this entry may act for while it holds a majority of grants.
-    std::map<partition_id, epoch_number> active_;
-    std::vector<takeover> takeovers_;
+    std::map<partition_id, epoch_number> owned_partitions_;
+    std::vector<partition_takeover> takeovers_;
     // Latest version whose takeover completed while it was the current version.
-    table_version settled_version_ = 0;
+    table_version completed_takeover_version_ = 0;
 
     std::map<std::string, agent_state> agents_;
     std::map<incarnation, pending_record> pending_records_;
-    std::uint64_t sequence_ = 0;
+    std::uint64_t last_grant_sequence_ = 0;
     // Sending times of grant requests, by sequence number.
-    std::map<std::uint64_t, time_point> sent_at_;
-    std::optional<time_point> renew_at_;
-    std::optional<time_point> refreshed_at_;
-    std::optional<time_point> asked_for_table_at_;
+    std::map<std::uint64_t, time_point> grant_requests_sent_at_;
+    std::optional<time_point> next_renewal_at_;
+    std::optional<time_point> records_refreshed_at_;
+    std::optional<time_point> table_requested_at_;
 
     store_rate_limiter store_rate_limiter_;
     // Time at which the pending table change is proposed.
-    std::optional<time_point> change_at_;
-    std::optional<time_point> read_asked_at_;
+    std::optional<time_point> next_change_at_;
+    std::optional<time_point> read_requested_at_;
     std::optional<bootstrap_read> bootstrap_read_;
     std::optional<time_point> bootstrap_table_pushed_at_;
     // Modification revision of table_ in the store, if it was read.
     std::optional<std::int64_t> mod_revision_;
     // Table of the write in flight.
-    std::optional<owner_table> writing_;
+    std::optional<owner_table> write_in_flight_;
     // Operation id of a write whose result is unknown.
     std::string unresolved_operation_;
-    std::uint64_t operations_ = 0;
+    std::uint64_t last_operation_ = 0;
 
-    bool leaving_ = false;
+    bool is_leaving_ = false;
     // All other entries in the table are silent.
     bool is_only_entry_ = false;
     // A table that names this entry was received, or its write was sent.
--- a/coordination/ownership_actions.h
+++ b/coordination/ownership_actions.h
@@ -11,21 +11,21 @@
 namespace persimmonstile {
 
 // A control message to be sent to a connected agent.
-struct control_send {
+struct outgoing_control_message {
     incarnation to;
     control_message message;
 };
 
 // A conditional table write. It takes effect only if the stored value still has modification revision
-// expected_mod (0: the key must not exist).
+// expected_mod_revision (0: the key must not exist).
 struct table_write {
     owner_table table;
-    std::int64_t expected_mod = 0;
+    std::int64_t expected_mod_revision = 0;
 };
 
 // Actions that the entry performs after an event, in the order in which the members are declared.
 struct ownership_actions {
-    std::vector<control_send> sends;
+    std::vector<outgoing_control_message> sends;
     std::vector<partition_gain> gained;
     std::vector<partition_id> lost;
     std::optional<table_write> write;
--- a/coordination/partition_gain.h
+++ b/coordination/partition_gain.h
@@ -15,11 +15,11 @@
     bool is_first_epoch = false;
     // All agent incarnations that may have started tasks under earlier epochs. Empty if is_first_epoch is
     // set, because there was no earlier owner.
-    std::vector<incarnation> suspects;
+    std::vector<incarnation> previous_agents;
 
     static constexpr auto members() {
         return std::make_tuple(&partition_gain::partition, &partition_gain::epoch,
-                               &partition_gain::is_first_epoch, &partition_gain::suspects);
+                               &partition_gain::is_first_epoch, &partition_gain::previous_agents);
     }
 };
 
--- a/coordination/takeover.h
+++ b/coordination/partition_takeover.h
@@ -23,27 +23,27 @@
 // 3. the same incarnations confirm the version and send their records.
 // Step 3 shows that no grantor of the majority restarted in between and lost its acknowledgement. The records
 // also include agents that the old owner had recorded during the wait.
-class takeover {
+class partition_takeover {
 public:
     // Returns the connected incarnation of the grantor if it acknowledged the version, otherwise nullopt.
     using acknowledged_by = std::function<std::optional<incarnation>(const std::string& grantor)>;
 
     // A majority of each grantor set is required. Step 2 is skipped if all epochs are 1, because there was no
     // earlier owner.
-    takeover(table_version version, std::vector<std::vector<std::string>> grantor_sets,
-             std::map<partition_id, epoch_number> partitions);
+    partition_takeover(table_version version, std::vector<std::vector<std::string>> grantor_sets,
+                       std::map<partition_id, epoch_number> partitions);
 
     // Records new acknowledgements and returns the grantors to query now for step 3, with nonce().
     std::vector<incarnation> advance(const acknowledged_by& acknowledged, time_point now);
-    void confirmed(std::uint64_t nonce, const incarnation& grantor, table_version known_version,
-                   const std::vector<incarnation>& recorded);
+    void add_confirmation(std::uint64_t nonce, const incarnation& grantor, table_version known_version,
+                          const std::vector<incarnation>& recorded);
     bool is_complete() const;
     std::vector<partition_gain> gains() const;
     // Union of the records of the grantors that confirmed.
-    const std::set<incarnation>& recorded() const { return recorded_; }
+    const std::set<incarnation>& recorded() const { return recorded_agents_; }
 
     // Drops partitions that have moved to another owner or epoch.
-    void keep_only(const std::map<partition_id, epoch_number>& current);
+    void retain_partitions(const std::map<partition_id, epoch_number>& current);
 
     table_version version() const { return version_; }
     const std::map<partition_id, epoch_number>& partitions() const { return partitions_; }
@@ -54,7 +54,7 @@
 private:
     struct acknowledgement {
         incarnation grantor;
-        time_point at;
+        time_point acknowledged_at;
     };
     using grantor_group = std::map<std::string, incarnation>;
 
@@ -64,13 +64,13 @@
     table_version version_;
     std::vector<std::vector<std::string>> grantor_sets_;
     std::map<partition_id, epoch_number> partitions_;
-    std::chrono::milliseconds wait_;
+    std::chrono::milliseconds lease_expiry_wait_;
     std::map<std::string, acknowledgement> acknowledgements_;
-    grantor_group asked_;
-    std::uint64_t round_ = 0;
-    std::optional<time_point> asked_at_;
-    std::set<std::string> confirmed_;
-    std::set<incarnation> recorded_;
+    grantor_group queried_grantors_;
+    std::uint64_t query_round_ = 0;
+    std::optional<time_point> queried_at_;
+    std::set<std::string> confirmed_grantors_;
+    std::set<incarnation> recorded_agents_;
 };
 
 } // namespace persimmonstile
--- a/coordination/prefix_view.h
+++ b/coordination/prefix_view.h
@@ -22,9 +22,9 @@
         milliseconds timeout{0};
     };
 
-    // watch_wait is how long the store keeps a watch open. A dead connection is detected soon after that
+    // watch_duration is how long the store keeps a watch open. A dead connection is detected soon after that
     // time.
-    prefix_view(std::string prefix, milliseconds watch_wait);
+    prefix_view(std::string prefix, milliseconds watch_duration);
 
     // Returns the store calls to make now.
     std::vector<call> take_calls(time_point now);
@@ -42,17 +42,17 @@
     // Returns true once after each change of the items, including the first listing.
     bool take_change();
     // True after the first complete listing.
-    bool is_known() const { return is_known_; }
+    bool is_known() const { return has_been_listed_; }
     // Sending time of the last call whose reply confirmed that the items are current.
-    time_point confirmed() const { return confirmed_; }
+    time_point confirmed() const { return confirmed_at_; }
 
 private:
-    void listed(const item_listing& page, time_point now);
-    void take_listing();
+    void process_page(const item_listing& page, time_point now);
+    void apply_listing();
     void apply(const store_item& item);
 
     std::string prefix_;
-    milliseconds watch_wait_;
+    milliseconds watch_duration_;
     std::map<std::string, store_item> items_;
     std::vector<store_item> listing_;
     // Last key of the pages received so far; empty if no listing is in progress.
@@ -62,18 +62,18 @@
     std::uint64_t change_revision_ = 0;
     std::uint64_t expected_revision_ = 0;
     time_point expected_since_{};
-    // Added to watch_wait_ to get the timeout of a watch call.
-    milliseconds slack_;
+    // Added to watch_duration_ to get the timeout of a watch call.
+    milliseconds timeout_margin_;
     // The items can be updated from a watch; otherwise they must be listed first.
-    bool is_listed_ = false;
-    bool is_known_ = false;
+    bool is_listing_current_ = false;
+    bool has_been_listed_ = false;
     bool has_changed_ = false;
     std::uint64_t last_id_ = 0;
     // Id of the call in flight; 0 if there is none.
-    std::uint64_t waiting_for_ = 0;
-    time_point sent_{};
-    time_point not_before_{};
-    time_point confirmed_{};
+    std::uint64_t call_in_flight_ = 0;
+    time_point call_sent_at_{};
+    time_point backoff_until_{};
+    time_point confirmed_at_{};
 };
 
 } // namespace persimmonstile
--- a/coordination/session_keeper.cpp
+++ b/coordination/session_manager.cpp
@@ -1,4 +1,4 @@
-#include "coordination/session_keeper.h"
+#include "coordination/session_manager.h"
 
 #include "coordination/store_keys.h"
 
@@ -14,76 +14,77 @@
 constexpr milliseconds renewal_interval{600};
 
 // A watch ends after this time and is started again, so that a dead connection is detected.
-constexpr milliseconds watch_wait{3000};
-constexpr milliseconds watch_slack{500};
+constexpr milliseconds watch_duration{3000};
+constexpr milliseconds watch_timeout_margin{500};
 
 // Sessions are not adopted for this long after a store outage. Live processes whose liveness keys expired
 // during the outage write them again within about this time.
-constexpr milliseconds return_grace{2000};
+constexpr milliseconds liveness_return_grace{2000};
 // A liveness key may be missing briefly while its lease is replaced.
-constexpr milliseconds missing_grace{300};
+constexpr milliseconds missing_key_grace{300};
 // Each live entry waits this long per live entry whose name sorts before its own, so that entries rarely race
 // to adopt the same session.
 constexpr milliseconds adoption_stagger{120};
 
 constexpr milliseconds failure_backoff{60};
 
-constexpr milliseconds first_timeout{200};
-constexpr milliseconds shortest_timeout{80};
-constexpr milliseconds longest_timeout{1000};
+constexpr milliseconds initial_timeout{200};
+constexpr milliseconds min_timeout{80};
+constexpr milliseconds max_timeout{1000};
 
 // Maximum number of agents recorded per write. The store accepts 32 conditions and values in total per write.
 constexpr std::size_t max_agents_per_write = 15;
 
 // Interval of the checks for expired sessions while nothing else is due.
-constexpr milliseconds idle_interval{100};
+constexpr milliseconds idle_check_interval{100};
 
 } // namespace
 
-session_keeper::session_keeper(entry_record self, std::function<std::uint64_t()> next_number,
-                               std::uint64_t seed)
+session_manager::session_manager(entry_record self, std::function<std::uint64_t()> next_session_number,
+                                 std::uint64_t seed)
     : self_{std::move(self)}
-    , next_number_{std::move(next_number)}
+    , next_session_number_{std::move(next_session_number)}
     , rank_{seed}
-    , round_trip_{first_timeout, shortest_timeout, longest_timeout} {}
+    , round_trip_{initial_timeout, min_timeout, max_timeout} {}
 
-void session_keeper::note(std::string_view what,
-                          std::vector<std::pair<std::string_view, decision::value>> inputs, bool is_warning) {
+void session_manager::record_decision(std::string_view what,
+                                      std::vector<std::pair<std::string_view, decision::value>> inputs,
+                                      bool is_warning) {
     decisions_.push_back({what, {}, std::move(inputs), is_warning});
 }
 
-std::uint64_t session_keeper::send(purpose why, store_call what, milliseconds timeout, time_point now,
-                                   const incarnation& former) {
+std::uint64_t session_manager::send(purpose call_purpose, store_call what, milliseconds timeout,
+                                    time_point now, const incarnation& former) {
     const std::uint64_t id = ++last_id_;
-    sent_[id] = {why, now, former};
-    calls_.push_back({id, std::move(what), timeout});
+    calls_in_flight_[id] = {call_purpose, now, former};
+    queued_calls_.push_back({id, std::move(what), timeout});
     return id;
 }
 
-bool session_keeper::is_waiting_for(purpose why) const {
-    return std::any_of(sent_.begin(), sent_.end(),
-                       [&](const auto& entry) { return entry.second.why == why; });
+bool session_manager::is_waiting_for(purpose call_purpose) const {
+    return std::any_of(calls_in_flight_.begin(), calls_in_flight_.end(),
+                       [&](const auto& entry) { return entry.second.call_purpose == call_purpose; });
 }
 
 // --- due steps ---
 
-std::vector<session_keeper::call> session_keeper::take_calls(time_point now) {
-    if (now >= not_before_) {
+std::vector<session_manager::call> session_manager::take_calls(time_point now) {
+    if (now >= backoff_until_) {
         switch (phase_) {
         case phase::listing:
-            list(now);
+            list_members(now);
             break;
         case phase::claiming:
-            claim(now);
+            claim_session(now);
             break;
         case phase::active:
             if (is_view_current_)
-                watch(now);
+                watch_members(now);
             else
-                list(now);
+                list_members(now);
             keep_alive(now);
             adopt_expired_sessions(now);
-            for (const auto& [former, pending] : pending_)
+            for (const auto& [former, pending] : pending_adoptions_)
                 list_jobs(former, now);
             record_agents(now);
             break;
@@ -91,14 +92,14 @@
             if (!is_waiting_for(purpose::leave)) {
                 store_write write;
                 write.conditions.push_back({entry_key(self_.session.name), entry_revision_});
-                if (leaves_finished_) {
+                if (has_no_open_jobs_) {
                     write.removals.push_back(entry_key(self_.session.name));
                 } else {
                     entry_record leaving = self_;
                     leaving.is_leaving = true;
                     write.puts.push_back({entry_key(self_.session.name), leaving});
                 }
-                write.removals.push_back(alive_key(session_));
+                write.removals.push_back(liveness_key(session_));
                 send(purpose::leave, std::move(write), timeout(), now);
             }
             break;
@@ -106,16 +107,16 @@
             break;
         }
     }
-    return std::exchange(calls_, {});
+    return std::exchange(queued_calls_, {});
 }
 
-void session_keeper::list(time_point now) {
-    if (is_waiting_for(purpose::list))
+void session_manager::list_members(time_point now) {
+    if (is_waiting_for(purpose::list_members))
         return;
-    send(purpose::list, store_list{member_prefix, listing_after_}, timeout(), now);
+    send(purpose::list_members, store_list{member_prefix, listing_after_}, timeout(), now);
 }
 
-void session_keeper::listed(const item_listing& page, time_point now) {
+void session_manager::process_page(const item_listing& page, time_point now) {
     if (listing_after_.empty())
         listing_revision_ = page.revision;
     listing_.insert(listing_.end(), page.items.begin(), page.items.end());
@@ -135,31 +136,32 @@
 
 // Replaces the record of this entry's earlier process and adopts its jobs in one write. If the earlier
 // process is still running, its writes fail from then on.
-void session_keeper::claim(time_point now) {
+void session_manager::claim_session(time_point now) {
     if (lease_ == 0) {
         keep_alive(now);
         return;
     }
-    if (is_waiting_for(purpose::claim))
+    if (is_waiting_for(purpose::claim_session))
         return;
     if (candidate_.number == 0)
-        candidate_ = {self_.session.name, next_number_()};
+        candidate_ = {self_.session.name, next_session_number_()};
     self_.session = candidate_;
     store_write write;
     candidate_adoptions_.clear();
-    const member_directory::entry_state* present = members_.find_entry(candidate_.name);
-    if (present != nullptr && present->record.session == candidate_) {
+    const member_directory::entry_state* current_entry = members_.find_entry(candidate_.name);
+    if (current_entry != nullptr && current_entry->record.session == candidate_) {
         // An earlier attempt took effect although its reply was lost. Its adoptions took effect too.
         for (const auto& [session, state] : members_.adoptions()) {
             if (state.record.successor == candidate_)
                 candidate_adoptions_.push_back(state.record);
         }
-        begin(present->revision, now);
+        begin(current_entry->revision, now);
         return;
     }
-    write.conditions.push_back({entry_key(candidate_.name), present != nullptr ? present->revision : 0});
-    if (present != nullptr) {
-        const incarnation& former = present->record.session;
+    write.conditions.push_back(
+        {entry_key(candidate_.name), current_entry != nullptr ? current_entry->revision : 0});
+    if (current_entry != nullptr) {
+        const incarnation& former = current_entry->record.session;
         candidate_adoptions_.push_back({former, candidate_, 1});
         for (const auto& [session, state] : members_.adoptions()) {
             if (state.record.successor != former)
@@ -169,13 +171,13 @@
         }
     }
     write.puts.push_back({entry_key(candidate_.name), self_});
-    write.puts.push_back({alive_key(candidate_), std::string{}, lease_});
+    write.puts.push_back({liveness_key(candidate_), std::string{}, lease_});
     for (const session_adoption& record : candidate_adoptions_)
         write.puts.push_back({adopted_key(record.former), record});
-    send(purpose::claim, std::move(write), timeout(), now);
+    send(purpose::claim_session, std::move(write), timeout(), now);
 }
 
-void session_keeper::claimed(const store_reply& reply, time_point now) {
+void session_manager::process_claim_reply(const store_reply& reply, time_point now) {
     std::uint64_t revision = 0;
     if (const auto* applied = std::get_if<write_applied>(&reply))
         revision = applied->revision;
@@ -196,30 +198,30 @@
     begin(revision, now);
 }
 
-void session_keeper::begin(std::uint64_t revision, time_point now) {
+void session_manager::begin(std::uint64_t revision, time_point now) {
     session_ = candidate_;
     entry_revision_ = revision;
     // The claim also wrote the liveness key. If the key has expired since, the watch reports that.
     is_liveness_key_written_ = true;
     phase_ = phase::active;
-    note("session begins", {{"session", session_text(session_)},
-                            {"revision", static_cast<std::int64_t>(revision)},
-                            {"adopts", static_cast<std::int64_t>(candidate_adoptions_.size())}});
+    record_decision("session begins", {{"session", session_text(session_)},
+                                       {"revision", static_cast<std::int64_t>(revision)},
+                                       {"adopts", static_cast<std::int64_t>(candidate_adoptions_.size())}});
     for (const session_adoption& record : candidate_adoptions_)
-        pending_[record.former].result.record = record;
+        pending_adoptions_[record.former].result.record = record;
     next_renewal_ = now + renewal_interval;
 }
 
-void session_keeper::watch(time_point now) {
-    if (is_waiting_for(purpose::watch))
+void session_manager::watch_members(time_point now) {
+    if (is_waiting_for(purpose::watch_members))
         return;
-    send(purpose::watch, store_watch{member_prefix, watch_revision_, watch_wait.count()},
-         watch_wait + watch_slack, now);
+    send(purpose::watch_members, store_watch{member_prefix, watch_revision_, watch_duration.count()},
+         watch_duration + watch_timeout_margin, now);
 }
 
-void session_keeper::watched(const store_reply& reply, time_point now) {
+void session_manager::process_watch_reply(const store_reply& reply, time_point now) {
     if (std::holds_alternative<history_lost>(reply)) {
-        note("history of the members is lost, listing them again", {});
+        record_decision("history of the members is lost, listing them again", {});
         is_view_current_ = false;
         return;
     }
@@ -234,7 +236,7 @@
         deposed(now);
 }
 
-void session_keeper::keep_alive(time_point now) {
+void session_manager::keep_alive(time_point now) {
     if (lease_ == 0) {
         if (!is_waiting_for(purpose::open_lease))
             send(purpose::open_lease, lease_open{lease_time.count()}, timeout(), now);
@@ -244,7 +246,7 @@
         return;
     const bool is_missing = is_view_current_ && !members_.is_alive(session_) && is_liveness_key_written_ &&
                             members_.missing_since(session_) &&
-                            now - *members_.missing_since(session_) >= missing_grace / 2;
+                            now - *members_.missing_since(session_) >= missing_key_grace / 2;
     if (!is_liveness_key_written_ || is_missing) {
         write_liveness_key(now);
         return;
@@ -256,26 +258,27 @@
 }
 
 // Rewrites the liveness key under the current lease.
-void session_keeper::write_liveness_key(time_point now) {
+void session_manager::write_liveness_key(time_point now) {
     if (is_waiting_for(purpose::write_liveness_key))
         return;
     store_write write;
     write.conditions.push_back({entry_key(session_.name), entry_revision_});
-    write.puts.push_back({alive_key(session_), std::string{}, lease_});
+    write.puts.push_back({liveness_key(session_), std::string{}, lease_});
     send(purpose::write_liveness_key, std::move(write), timeout(), now);
 }
 
 // --- adoption ---
 
-void session_keeper::adopt_expired_sessions(time_point now) {
-    if (!is_view_current_ || failing_since_ || session_.name.empty())
+void session_manager::adopt_expired_sessions(time_point now) {
+    if (!is_view_current_ || store_failing_since_ || session_.name.empty())
         return;
     // An adoption whose reply was lost may have taken effect.
     for (const auto& [former, state] : members_.adoptions()) {
-        if (state.record.successor != session_ || pending_.contains(former) || loaded_.contains(former))
+        if (state.record.successor != session_ || pending_adoptions_.contains(former) ||
+            loaded_sessions_.contains(former))
             continue;
-        pending_[former].result.record = state.record;
-        pending_[former].result.may_live = true;
+        pending_adoptions_[former].result.record = state.record;
+        pending_adoptions_[former].result.may_be_running = true;
     }
     // Number of live entries whose names sort before this entry's name.
     std::uint64_t position = 0;
@@ -285,36 +288,38 @@
     }
     for (const auto& [name, state] : members_.entries()) {
         const incarnation& session = state.record.session;
-        if (session == session_ || pending_.contains(session) || connected_.contains(session))
+        if (session == session_ || pending_adoptions_.contains(session) ||
+            connected_sessions_.contains(session))
             continue;
         const std::optional<time_point> missing = members_.missing_since(session);
         if (!missing)
             continue;
         const milliseconds delay = adoption_stagger * static_cast<int>(position);
-        const bool is_due =
-            state.record.is_leaving
-                ? now >= *missing + delay
-                : now >= std::max(*missing + missing_grace, answering_since_ + return_grace) + delay;
+        const bool is_due = state.record.is_leaving
+                                ? now >= *missing + delay
+                                : now >= std::max(*missing + missing_key_grace,
+                                                  store_available_since_ + liveness_return_grace) +
+                                             delay;
         if (is_due)
-            adopt(session, !state.record.is_leaving, now);
+            adopt_session(session, !state.record.is_leaving, now);
     }
 }
 
-void session_keeper::adopt(const incarnation& former, bool may_live, time_point now) {
+void session_manager::adopt_session(const incarnation& former, bool may_be_running, time_point now) {
     const member_directory::entry_state* entry = members_.find_entry(former.name);
     if (entry == nullptr || entry->record.session != former)
         return;
-    note("adopting the jobs of a session that is gone", {{"former", session_text(former)}}, true);
-    pending_adoption& pending = pending_[former];
+    record_decision("adopting the jobs of a session that is gone", {{"former", session_text(former)}}, true);
+    pending_adoption& pending = pending_adoptions_[former];
     pending.result.record = {former, session_, 1};
-    pending.result.may_live = may_live;
+    pending.result.may_be_running = may_be_running;
     store_write write;
     write.conditions.push_back({entry_key(session_.name), entry_revision_});
     write.conditions.push_back({entry_key(former.name), entry->revision});
     write.conditions.push_back({adopted_key(former), 0});
     write.puts.push_back({adopted_key(former), pending.result.record});
     write.removals.push_back(entry_key(former.name));
-    write.removals.push_back(alive_key(former));
+    write.removals.push_back(liveness_key(former));
     for (const auto& [session, state] : members_.adoptions()) {
         if (state.record.successor != former)
             continue;
@@ -322,52 +327,54 @@
         write.puts.push_back(
             {adopted_key(session), session_adoption{session, session_, state.record.succession_count + 1}});
     }
-    send(purpose::adopt, std::move(write), timeout(), now, former);
+    send(purpose::adopt_session, std::move(write), timeout(), now, former);
 }
 
-void session_keeper::adoption_replied(const incarnation& former, const store_reply& reply, time_point now) {
-    const auto found = pending_.find(former);
-    if (found == pending_.end())
+void session_manager::process_adoption_reply(const incarnation& former, const store_reply& reply,
+                                             time_point now) {
+    const auto found = pending_adoptions_.find(former);
+    if (found == pending_adoptions_.end())
         return;
-    bool is_ours = std::holds_alternative<write_applied>(reply);
+    bool is_adopted_here = std::holds_alternative<write_applied>(reply);
     if (const auto* conflict = std::get_if<write_conflict>(&reply)) {
         for (const store_item& item : conflict->items) {
             const auto* record = std::get_if<session_adoption>(&item.value);
             if (item.key == adopted_key(former) && record != nullptr && record->successor == session_)
-                is_ours = true;
+                is_adopted_here = true;
         }
     }
-    if (!is_ours) {
-        pending_.erase(found);
+    if (!is_adopted_here) {
+        pending_adoptions_.erase(found);
         // A write without a reply may have taken effect. Listing the members again shows whether it did.
         is_view_current_ = false;
         return;
     }
-    const bool may_live = found->second.result.may_live;
+    const bool may_be_running = found->second.result.may_be_running;
     for (const auto& [session, state] : members_.adoptions()) {
         if (state.record.successor != former)
             continue;
-        pending_adoption& chained = pending_[session];
+        pending_adoption& chained = pending_adoptions_[session];
         chained.result.record = {session, session_, state.record.succession_count + 1};
-        chained.result.may_live = may_live;
+        chained.result.may_be_running = may_be_running;
     }
     list_jobs(former, now);
 }
 
-void session_keeper::list_jobs(const incarnation& former, time_point now) {
-    const bool adopts = std::any_of(sent_.begin(), sent_.end(), [&](const auto& entry) {
-        return entry.second.why == purpose::adopt && entry.second.former == former;
-    });
-    pending_adoption& pending = pending_[former];
-    if (adopts || pending.is_listing)
+void session_manager::list_jobs(const incarnation& former, time_point now) {
+    const bool is_adopting =
+        std::any_of(calls_in_flight_.begin(), calls_in_flight_.end(), [&](const auto& entry) {
+            return entry.second.call_purpose == purpose::adopt_session && entry.second.former == former;
+        });
+    pending_adoption& pending = pending_adoptions_[former];
+    if (is_adopting || pending.is_listing)
         return;
     pending.is_listing = true;
-    send(purpose::jobs, store_list{open_prefix(former), pending.after_key}, timeout() * 2, now, former);
+    send(purpose::jobs, store_list{open_job_prefix(former), pending.after_key}, timeout() * 2, now, former);
 }
 
-void session_keeper::jobs_listed(const incarnation& former, const store_reply& reply, time_point now) {
-    const auto found = pending_.find(former);
-    if (found == pending_.end())
+void session_manager::process_job_page(const incarnation& former, const store_reply& reply, time_point now) {
+    const auto found = pending_adoptions_.find(former);
+    if (found == pending_adoptions_.end())
         return;
     pending_adoption& pending = found->second;
     pending.is_listing = false;
@@ -380,51 +387,51 @@
         list_jobs(former, now);
         return;
     }
-    note("adopted jobs",
-         {{"former", session_text(former)}, {"jobs", static_cast<std::int64_t>(pending.result.jobs.size())}});
-    loaded_.insert(former);
-    adopted_.push_back(std::move(pending.result));
-    pending_.erase(found);
+    record_decision("adopted jobs", {{"former", session_text(former)},
+                                     {"jobs", static_cast<std::int64_t>(pending.result.jobs.size())}});
+    loaded_sessions_.insert(former);
+    completed_adoptions_.push_back(std::move(pending.result));
+    pending_adoptions_.erase(found);
 }
 
-bool session_keeper::is_adopting_below(std::uint32_t succession_count) const {
-    return std::any_of(pending_.begin(), pending_.end(), [&](const auto& entry) {
+bool session_manager::is_adopting_below(std::uint32_t succession_count) const {
+    return std::any_of(pending_adoptions_.begin(), pending_adoptions_.end(), [&](const auto& entry) {
         return entry.second.result.record.succession_count < succession_count;
     });
 }
 
-void session_keeper::adoption_done(const incarnation& former, time_point now) {
+void session_manager::end_adoption(const incarnation& former, time_point now) {
     const auto found = members_.adoptions().find(former);
     if (phase_ != phase::active || found == members_.adoptions().end() ||
-        found->second.record.successor != session_ || is_waiting_for(purpose::forget) ||
-        pending_.contains(former))
+        found->second.record.successor != session_ || is_waiting_for(purpose::remove_adoption) ||
+        pending_adoptions_.contains(former))
         return;
     store_write write;
     write.conditions.push_back({entry_key(session_.name), entry_revision_});
     write.conditions.push_back({adopted_key(former), found->second.revision});
     write.removals.push_back(adopted_key(former));
-    send(purpose::forget, std::move(write), timeout(), now);
+    send(purpose::remove_adoption, std::move(write), timeout(), now);
 }
 
 // --- agents ---
 
-void session_keeper::need_agents(const std::vector<agent_record>& agents, time_point) {
+void session_manager::set_needed_agents(const std::vector<agent_record>& agents, time_point) {
     needed_agents_.clear();
     for (const agent_record& agent : agents)
         needed_agents_[agent.name] = agent;
 }
 
-void session_keeper::record_agents(time_point now) {
+void session_manager::record_agents(time_point now) {
     if (is_waiting_for(purpose::agents) || !is_view_current_)
         return;
     store_write write;
     write.conditions.push_back({entry_key(session_.name), entry_revision_});
-    recording_.clear();
+    agents_in_write_.clear();
     for (const auto& [name, agent] : needed_agents_) {
-        if (members_.agents().contains(name) || recording_.size() >= max_agents_per_write)
+        if (members_.agents().contains(name) || agents_in_write_.size() >= max_agents_per_write)
             continue;
         write.puts.push_back({agent_key(name), agent});
-        recording_.push_back(agent);
+        agents_in_write_.push_back(agent);
     }
     if (!write.puts.empty())
         send(purpose::agents, std::move(write), timeout(), now);
@@ -432,32 +439,32 @@
 
 // --- replies ---
 
-void session_keeper::replied(std::uint64_t id, const store_reply& reply, time_point now) {
-    const auto found = sent_.find(id);
-    if (found == sent_.end())
+void session_manager::replied(std::uint64_t id, const store_reply& reply, time_point now) {
+    const auto found = calls_in_flight_.find(id);
+    if (found == calls_in_flight_.end())
         return;
     const sent_call sent = found->second;
-    sent_.erase(found);
+    calls_in_flight_.erase(found);
     if (const auto* failure = std::get_if<store_failure>(&reply)) {
-        failed(sent, *failure, now);
+        process_failure(sent, *failure, now);
     } else {
-        if (failing_since_ || last_contact_ == time_point{})
-            answering_since_ = now;
-        failing_since_.reset();
+        if (store_failing_since_ || last_contact_ == time_point{})
+            store_available_since_ = now;
+        store_failing_since_.reset();
         last_contact_ = now;
-        if (sent.why != purpose::watch)
+        if (sent.call_purpose != purpose::watch_members)
             round_trip_.answered(now - sent.sent);
     }
-    switch (sent.why) {
-    case purpose::list:
+    switch (sent.call_purpose) {
+    case purpose::list_members:
         if (const auto* page = std::get_if<item_listing>(&reply))
-            listed(*page, now);
+            process_page(*page, now);
         return;
-    case purpose::claim:
-        claimed(reply, now);
+    case purpose::claim_session:
+        process_claim_reply(reply, now);
         return;
-    case purpose::watch:
-        watched(reply, now);
+    case purpose::watch_members:
+        process_watch_reply(reply, now);
         return;
     case purpose::open_lease:
         if (const auto* valid = std::get_if<lease_valid>(&reply)) {
@@ -468,7 +475,7 @@
         return;
     case purpose::renew_lease:
         if (std::holds_alternative<lease_missing>(reply)) {
-            note("lease has ended, opening another", {{"session", session_text(session_)}}, true);
+            record_decision("lease has ended, opening another", {{"session", session_text(session_)}}, true);
             lease_ = 0;
             is_liveness_key_written_ = false;
         }
@@ -481,20 +488,20 @@
         if (std::holds_alternative<write_applied>(reply))
             is_liveness_key_written_ = true;
         return;
-    case purpose::adopt:
-        adoption_replied(sent.former, reply, now);
+    case purpose::adopt_session:
+        process_adoption_reply(sent.former, reply, now);
         return;
     case purpose::jobs:
-        jobs_listed(sent.former, reply, now);
+        process_job_page(sent.former, reply, now);
         return;
     case purpose::agents:
         if (const auto* applied = std::get_if<write_applied>(&reply)) {
             // The watch delivers these records too, but later than this reply.
-            for (const agent_record& agent : recording_)
+            for (const agent_record& agent : agents_in_write_)
                 members_.apply({agent_key(agent.name), agent, applied->revision}, now);
         }
         return;
-    case purpose::forget:
+    case purpose::remove_adoption:
         return;
     case purpose::leave:
         if (!std::holds_alternative<store_failure>(reply))
@@ -503,29 +510,29 @@
     }
 }
 
-void session_keeper::failed(const sent_call& sent, const store_failure& failure, time_point now) {
-    if (!failing_since_) {
-        failing_since_ = now;
-        note("store does not answer", {{"detail", failure.detail}}, true);
+void session_manager::process_failure(const sent_call& sent, const store_failure& failure, time_point now) {
+    if (!store_failing_since_) {
+        store_failing_since_ = now;
+        record_decision("store does not answer", {{"detail", failure.detail}}, true);
     }
-    if (sent.why != purpose::watch && failure.may_have_applied)
+    if (sent.call_purpose != purpose::watch_members && failure.may_have_applied)
         round_trip_.missing();
-    not_before_ = now + failure_backoff;
-    if (sent.why == purpose::jobs) {
-        const auto found = pending_.find(sent.former);
-        if (found != pending_.end())
+    backoff_until_ = now + failure_backoff;
+    if (sent.call_purpose == purpose::jobs) {
+        const auto found = pending_adoptions_.find(sent.former);
+        if (found != pending_adoptions_.end())
             found->second.is_listing = false;
     }
 }
 
-void session_keeper::deposed(time_point now) {
+void session_manager::deposed(time_point now) {
     if (phase_ != phase::active)
         return;
-    note("session is deposed, beginning another", {{"session", session_text(session_)}}, true);
-    restart(now);
+    record_decision("session is deposed, beginning another", {{"session", session_text(session_)}}, true);
+    reset_session(now);
 }
 
-void session_keeper::restart(time_point) {
+void session_manager::reset_session(time_point) {
     phase_ = phase::listing;
     session_ = {};
     candidate_ = {};
@@ -535,26 +542,26 @@
     is_view_current_ = false;
     listing_.clear();
     listing_after_.clear();
-    pending_.clear();
-    adopted_.clear();
-    loaded_.clear();
+    pending_adoptions_.clear();
+    completed_adoptions_.clear();
+    loaded_sessions_.clear();
     // Replies to calls of the old session are ignored from now on.
-    sent_.clear();
+    calls_in_flight_.clear();
 }
 
-void session_keeper::leave(bool finished, time_point) {
+void session_manager::leave(bool has_no_open_jobs, time_point) {
     if (phase_ != phase::active) {
         phase_ = phase::left;
         return;
     }
-    leaves_finished_ = finished;
+    has_no_open_jobs_ = has_no_open_jobs;
     phase_ = phase::leaving;
 }
 
-time_point session_keeper::next_wakeup(time_point now) const {
-    if (now < not_before_)
-        return not_before_;
-    return now + idle_interval;
+time_point session_manager::next_wakeup(time_point now) const {
+    if (now < backoff_until_)
+        return backoff_until_;
+    return now + idle_check_interval;
 }
 
 } // namespace persimmonstile
--- a/coordination/session_keeper.h
+++ b/coordination/session_manager.h
@@ -20,7 +20,7 @@
 
 // Maintains an entry's session. It writes the entry's record to the store, keeps the liveness key under a
 // lease, watches the members and adopts the jobs of sessions that have ended. Deterministic and without I/O.
-class session_keeper {
+class session_manager {
 public:
     struct call {
         std::uint64_t id = 0;
@@ -32,34 +32,35 @@
     struct adopted_jobs {
         session_adoption record;
         // The former session's process may still be running. It acts until it learns that it is deposed.
-        bool may_live = false;
+        bool may_be_running = false;
         std::vector<store_item> jobs;
     };
 
-    // next_number is called for each new session and returns its number.
-    session_keeper(entry_record self, std::function<std::uint64_t()> next_number, std::uint64_t seed);
+    // next_session_number is called for each new session and returns its number.
+    session_manager(entry_record self, std::function<std::uint64_t()> next_session_number,
+                    std::uint64_t seed);
 
     // Sets the sessions that are connected to this process. They are not adopted.
-    void set_connected(std::set<incarnation> sessions) { connected_ = std::move(sessions); }
+    void set_connected(std::set<incarnation> sessions) { connected_sessions_ = std::move(sessions); }
 
     void replied(std::uint64_t id, const store_reply& reply, time_point now);
     // A write failed because this session is deposed. Begins a new session.
     void deposed(time_point now);
     // Ends the session. If there are no open jobs, the entry's record is removed. Otherwise the
     // record is marked as leaving, so that the other entries adopt the jobs without the usual grace periods.
-    void leave(bool finished, time_point now);
+    void leave(bool has_no_open_jobs, time_point now);
     bool has_left() const { return phase_ == phase::left; }
 
     // Sets the agents that must be recorded in the store. Those without a record get one.
-    void need_agents(const std::vector<agent_record>& agents, time_point now);
+    void set_needed_agents(const std::vector<agent_record>& agents, time_point now);
     // True while this session still adopts, or reads the jobs of, a session with a smaller adoption depth.
     bool is_adopting_below(std::uint32_t succession_count) const;
     // All jobs of the adopted session have ended. Removes the record of the adoption.
-    void adoption_done(const incarnation& former, time_point now);
+    void end_adoption(const incarnation& former, time_point now);
 
     // Returns the store calls to make now.
     std::vector<call> take_calls(time_point now);
-    std::vector<adopted_jobs> take_adopted() { return std::exchange(adopted_, {}); }
+    std::vector<adopted_jobs> take_adopted() { return std::exchange(completed_adoptions_, {}); }
     std::vector<decision> take_decisions() { return std::exchange(decisions_, {}); }
     time_point next_wakeup(time_point now) const;
 
@@ -73,21 +74,21 @@
 private:
     enum class phase : std::uint8_t { listing, claiming, active, leaving, left };
     enum class purpose : std::uint8_t {
-        list,
-        claim,
-        watch,
+        list_members,
+        claim_session,
+        watch_members,
         open_lease,
         renew_lease,
         write_liveness_key,
-        adopt,
+        adopt_session,
         jobs,
         agents,
-        forget,
+        remove_adoption,
         leave
     };
 
     struct sent_call {
-        purpose why = purpose::list;
+        purpose call_purpose = purpose::list_members;
         time_point sent{};
         // The adopted session, for an adoption or a listing of its jobs.
         incarnation former;
@@ -99,33 +100,34 @@
         bool is_listing = false;
     };
 
-    std::uint64_t send(purpose why, store_call what, milliseconds timeout, time_point now,
+    std::uint64_t send(purpose call_purpose, store_call what, milliseconds timeout, time_point now,
                        const incarnation& former = {});
-    bool is_waiting_for(purpose why) const;
+    bool is_waiting_for(purpose call_purpose) const;
     milliseconds timeout() const { return round_trip_.timeout(); }
-    void failed(const sent_call& call, const store_failure& failure, time_point now);
+    void process_failure(const sent_call& call, const store_failure& failure, time_point now);
 
-    void list(time_point now);
-    void listed(const item_listing& page, time_point now);
-    void claim(time_point now);
-    void claimed(const store_reply& reply, time_point now);
+    void list_members(time_point now);
+    void process_page(const item_listing& page, time_point now);
+    void claim_session(time_point now);
+    void process_claim_reply(const store_reply& reply, time_point now);
     void begin(std::uint64_t revision, time_point now);
-    void watch(time_point now);
-    void watched(const store_reply& reply, time_point now);
+    void watch_members(time_point now);
+    void process_watch_reply(const store_reply& reply, time_point now);
     void keep_alive(time_point now);
     void write_liveness_key(time_point now);
     void adopt_expired_sessions(time_point now);
-    void adopt(const incarnation& former, bool may_live, time_point now);
-    void adoption_replied(const incarnation& former, const store_reply& reply, time_point now);
+    void adopt_session(const incarnation& former, bool may_be_running, time_point now);
+    void process_adoption_reply(const incarnation& former, const store_reply& reply, time_point now);
     void list_jobs(const incarnation& former, time_point now);
-    void jobs_listed(const incarnation& former, const store_reply& reply, time_point now);
+    void process_job_page(const incarnation& former, const store_reply& reply, time_point now);
     void record_agents(time_point now);
-    void restart(time_point now);
-    void note(std::string_view what, std::vector<std::pair<std::string_view, decision::value>> inputs,
-              bool is_warning = false);
+    void reset_session(time_point now);
+    void record_decision(std::string_view what,
+                         std::vector<std::pair<std::string_view, decision::value>> inputs,
+                         bool is_warning = false);
 
     entry_record self_;
-    std::function<std::uint64_t()> next_number_;
+    std::function<std::uint64_t()> next_session_number_;
     std::uint64_t rank_;
     phase phase_ = phase::listing;
     incarnation session_;
@@ -145,26 +147,26 @@
     bool is_liveness_key_written_ = false;
     time_point next_renewal_{};
 
-    std::set<incarnation> connected_;
-    std::map<incarnation, pending_adoption> pending_;
-    std::vector<adopted_jobs> adopted_;
+    std::set<incarnation> connected_sessions_;
+    std::map<incarnation, pending_adoption> pending_adoptions_;
+    std::vector<adopted_jobs> completed_adoptions_;
     std::map<std::string, agent_record> needed_agents_;
-    std::vector<agent_record> recording_;
+    std::vector<agent_record> agents_in_write_;
     // Adopted sessions whose jobs have been read.
-    std::set<incarnation> loaded_;
+    std::set<incarnation> loaded_sessions_;
 
     std::uint64_t last_id_ = 0;
-    std::map<std::uint64_t, sent_call> sent_;
-    std::vector<call> calls_;
+    std::map<std::uint64_t, sent_call> calls_in_flight_;
+    std::vector<call> queued_calls_;
     std::vector<decision> decisions_;
     round_trip_estimate round_trip_;
     time_point last_contact_{};
     // Time since which the store has replied without failure.
-    time_point answering_since_{};
-    std::optional<time_point> failing_since_;
-    time_point not_before_{};
+    time_point store_available_since_{};
+    std::optional<time_point> store_failing_since_;
+    time_point backoff_until_{};
     bool is_leave_wanted_ = false;
-    bool leaves_finished_ = false;
+    bool has_no_open_jobs_ = false;
 };
 
 } // namespace persimmonstile
--- a/coordination/store_keys.h
+++ b/coordination/store_keys.h
@@ -16,7 +16,7 @@
 constexpr const char* entry_prefix = "persimmonstile/m/entry/";
 // Liveness keys of sessions. Each is attached to a lease that the session's process renews, so it disappears
 // after the process has ended.
-constexpr const char* alive_prefix = "persimmonstile/m/alive/";
+constexpr const char* liveness_prefix = "persimmonstile/m/alive/";
 // Deposed sessions whose jobs another session has adopted.
 constexpr const char* adopted_prefix = "persimmonstile/m/adopted/";
 // Records of agents that may have runs.
@@ -30,8 +30,8 @@
     return session.name + '+' + std::to_string(session.number);
 }
 
-inline std::string alive_key(const incarnation& session) {
-    return alive_prefix + session_text(session);
+inline std::string liveness_key(const incarnation& session) {
+    return liveness_prefix + session_text(session);
 }
 
 inline std::string adopted_key(const incarnation& session) {
@@ -48,12 +48,12 @@
 }
 
 // Records of the open jobs that a session accepted.
-inline std::string open_prefix(const incarnation& session) {
+inline std::string open_job_prefix(const incarnation& session) {
     return "persimmonstile/o/" + session_text(session) + '/';
 }
 
-inline std::string open_key(const incarnation& session, const job_id& job) {
-    return open_prefix(session) + job;
+inline std::string open_job_key(const incarnation& session, const job_id& job) {
+    return open_job_prefix(session) + job;
 }
 
 } // namespace persimmonstile
--- a/coordination/store_rate_limiter.h
+++ b/coordination/store_rate_limiter.h
@@ -16,23 +16,23 @@
     explicit store_rate_limiter(std::uint64_t seed);
 
     bool may_call(time_point now) const;
-    void called(time_point now);
-    void succeeded();
+    void record_call(time_point now);
+    void record_success();
     // The store did not reply, or its reply was lost.
-    void failed(time_point now);
+    void record_failure(time_point now);
     // Another writer changed the key first.
     void lost_race(time_point now);
     // Returns a random delay, uniformly distributed between zero and the bound.
-    std::chrono::nanoseconds jitter(std::chrono::nanoseconds bound);
+    std::chrono::nanoseconds jitter(std::chrono::nanoseconds max_jitter);
 
 private:
     std::mt19937_64 random_;
-    std::optional<time_point> last_call_;
-    std::optional<time_point> previous_call_;
-    std::optional<time_point> failed_at_;
-    time_point not_before_{};
-    std::uint32_t failures_ = 0;
-    std::uint32_t races_ = 0;
+    std::optional<time_point> last_call_at_;
+    std::optional<time_point> previous_call_at_;
+    std::optional<time_point> last_failure_at_;
+    time_point backoff_until_{};
+    std::uint32_t consecutive_failures_ = 0;
+    std::uint32_t consecutive_lost_races_ = 0;
 };
 
 } // namespace persimmonstile
--- a/coordination/table_change.cpp
+++ b/coordination/table_change.cpp
@@ -31,7 +31,7 @@
     return left.second < right.second;
 }
 
-void assign_orphans(owner_table& table, load_map& loads) {
+void assign_unowned_partitions(owner_table& table, load_map& loads) {
     for (partition_owner& partition : table.partitions) {
         if (loads.contains(partition.owner))
             continue;
@@ -41,10 +41,10 @@
     }
 }
 
-void give_fair_part(owner_table& table, load_map& loads, const incarnation& joined) {
-    const std::size_t fair = table.partitions.size() / loads.size();
+void assign_fair_share(owner_table& table, load_map& loads, const incarnation& joined) {
+    const std::size_t fair_share = table.partitions.size() / loads.size();
     std::size_t& own = loads[joined];
-    while (own < fair) {
+    while (own < fair_share) {
         const auto source = std::max_element(loads.begin(), loads.end(), has_less_load);
         const auto partition =
             std::find_if(table.partitions.begin(), table.partitions.end(),
@@ -64,9 +64,9 @@
     if (change.joined)
         table.entries.push_back(*change.joined);
     load_map loads = count_loads(table);
-    assign_orphans(table, loads);
+    assign_unowned_partitions(table, loads);
     if (change.joined)
-        give_fair_part(table, loads, change.joined->entry);
+        assign_fair_share(table, loads, change.joined->entry);
     return table;
 }
 
--- a/daemon/agent_daemon.cpp
+++ b/daemon/agent_daemon.cpp
@@ -301,7 +301,7 @@
             send_control(connection, *reply);
     } else if (const auto* reply = std::get_if<recovery_reply>(&message)) {
         const std::lock_guard lock{grantor_mutex_};
-        grantor_.recovered(*reply, now);
+        grantor_.handle_recovery_reply(*reply, now);
     }
 }
 
@@ -391,7 +391,7 @@
     std::optional<recovery_request> recovery;
     {
         const std::lock_guard lock{grantor_mutex_};
-        recovery = grantor_.recovery_due(now);
+        recovery = grantor_.take_recovery_request(now);
     }
     if (recovery)
         entries_.send_to_all(*recovery);
--- a/daemon/entry_daemon.cpp
+++ b/daemon/entry_daemon.cpp
@@ -277,7 +277,7 @@
 }
 
 void entry_daemon::perform(const ownership_actions& actions) {
-    for (const control_send& send : actions.sends) {
+    for (const outgoing_control_message& send : actions.sends) {
         metrics_.messages.add(kind_of(send.message));
         agents_.send(send.to, send.message);
     }
@@ -290,7 +290,7 @@
             engine_.handed_over(handover->second);
             handovers_.erase(handover);
         }
-        for (const incarnation& gone : agents_.expect(gained.suspects))
+        for (const incarnation& gone : agents_.expect(gained.previous_agents))
             engine_.agent_gone(gone);
     }
     engine_.set_lease(clock_.now() + ownership_.lease_left(clock_.now()));
@@ -365,7 +365,7 @@
         return;
     log_event(log_level::info, component, "configuration in use", {{"revision", view->revision}});
     metrics_.configuration_revision.set(static_cast<std::int64_t>(view->revision));
-    ownership_.set_revision(view->revision);
+    ownership_.set_config_revision(view->revision);
     engine_.set_fleet(view);
     agents_.send_to_others({}, fleet_.push());
 }
@@ -388,7 +388,7 @@
     }
     engine_.tick();
     desk_.tick();
-    left_ = ownership_.left();
+    left_ = ownership_.has_left();
     ready_ = !ownership_.table().partitions.empty() && fleet_.revision() > 0;
     write_gauges();
 }
--- a/daemon/store_worker.cpp
+++ b/daemon/store_worker.cpp
@@ -83,7 +83,7 @@
     calls_.emplace_back([this, write, on_result = std::move(on_result)] {
         const swap_result answer =
             store_.compare_and_swap(owner_table_key(cell_), encode_owner_table(write.table),
-                                    static_cast<store_revision>(write.expected_mod));
+                                    static_cast<store_revision>(write.expected_mod_revision));
         if (std::holds_alternative<store_written>(answer))
             on_result(table_write_result::committed);
         else if (std::holds_alternative<store_lost_race>(answer))
--- a/tests/commit_queue_test.cpp
+++ b/tests/commit_queue_test.cpp
@@ -138,7 +138,7 @@
     record->progress.push_back({0, 0, 1, true, 0, {}});
     queue_.add({"a", progress_commit{session_, record, 30}}, now_);
     const auto writes = queue_.take_writes(now_);
-    const std::string key = open_key(session_, "a");
+    const std::string key = open_job_key(session_, "a");
     queue_.replied(writes[0].id, write_conflict{{entry_item(), {key, open_job{}, 33}}}, now_);
     const auto retried_writes = queue_.take_writes(now_);
     ASSERT_EQ(retried_writes.size(), 1U);
--- a/tests/entry_core_test.cpp
+++ b/tests/entry_core_test.cpp
@@ -472,7 +472,7 @@
     advance_time(milliseconds{1100});
     serve_store();
     EXPECT_EQ(take_messages<recorded_run_ends>().size(), 1U);
-    const auto* record = std::get_if<open_job>(&store_.items().at(open_key(entry_.session(), "a")).value);
+    const auto* record = std::get_if<open_job>(&store_.items().at(open_job_key(entry_.session(), "a")).value);
     ASSERT_NE(record, nullptr);
     ASSERT_EQ(record->progress.size(), 1U);
     EXPECT_TRUE(record->progress[0].is_done);
@@ -582,7 +582,7 @@
     step.task_needs = {task_millicores, 64, 0};
     step.estimate_ms = 100;
     open.plan.steps.push_back(step);
-    store_.put(open_key(previous_session, "a"), open);
+    store_.put(open_job_key(previous_session, "a"), open);
     store_.put(job_key("a"), job_status{});
     store_.put(agent_key("agent"), agent_record{"agent", "zone"});
     store_.put(agent_key("other"), agent_record{"other", "zone"});
@@ -620,7 +620,7 @@
 
     bool is_held(const store_call& call) const {
         const auto* list = std::get_if<store_list>(&call);
-        return is_acceptance(call) || (list != nullptr && list->prefix == open_prefix(previous_session_));
+        return is_acceptance(call) || (list != nullptr && list->prefix == open_job_prefix(previous_session_));
     }
 
     caller_token submit_during_adoption() {
@@ -632,7 +632,7 @@
         open.service = "service";
         open.max_attempts = 2;
         open.plan = job("a", true, 1).plan;
-        store_.put(open_key(previous_session_, "a"), open);
+        store_.put(open_job_key(previous_session_, "a"), open);
         job_status status;
         status.owner = previous_session_;
         store_.put(job_key("a"), status);
@@ -690,7 +690,7 @@
     open.service = "service";
     open.max_attempts = 2;
     open.plan = job("a", true, 1).plan;
-    store_.put(open_key(previous_session_, "a"), open);
+    store_.put(open_job_key(previous_session_, "a"), open);
     prepare();
     connect_agent();
     ASSERT_EQ(entry_.open_jobs(), 1U);
--- a/tests/grantor_test.cpp
+++ b/tests/grantor_test.cpp
@@ -93,20 +93,20 @@
     const std::vector<std::string> names{"g", "h", "i", "j", "k"};
     grantor g{{"g", 2}, start};
     g.push(table_with(1, names), start);
-    const auto question = g.recovery_due(start);
+    const auto question = g.take_recovery_request(start);
     ASSERT_TRUE(question);
-    EXPECT_FALSE(g.recovery_due(start + 100ms));
+    EXPECT_FALSE(g.take_recovery_request(start + 100ms));
     EXPECT_FALSE(g.answer({{"h", 9}, 1}));
     const auto reply = [&](const std::string& from, table_version version, std::uint64_t nonce) {
         return recovery_reply{{"g", 2}, nonce, {from, 1}, table_with(version, names), {{from, 7}}};
     };
-    g.recovered(reply("h", 4, question->nonce), start);
-    g.recovered(reply("h", 4, question->nonce), start);
-    g.recovered(reply("i", 6, question->nonce), start);
-    g.recovered(reply("j", 6, question->nonce + 1), start);
-    g.recovered(reply("g", 6, question->nonce), start);
+    g.handle_recovery_reply(reply("h", 4, question->nonce), start);
+    g.handle_recovery_reply(reply("h", 4, question->nonce), start);
+    g.handle_recovery_reply(reply("i", 6, question->nonce), start);
+    g.handle_recovery_reply(reply("j", 6, question->nonce + 1), start);
+    g.handle_recovery_reply(reply("g", 6, question->nonce), start);
     EXPECT_FALSE(is_granted(g, owner_a, 6, start + 10s));
-    g.recovered(reply("j", 5, question->nonce), start + 10s);
+    g.handle_recovery_reply(reply("j", 5, question->nonce), start + 10s);
     EXPECT_FALSE(is_granted(g, owner_a, 6, start + 10s + grant_period - 1ms));
     EXPECT_TRUE(is_granted(g, owner_a, 6, start + 10s + grant_period));
     EXPECT_FALSE(is_granted(g, owner_a, 5, start + 10s + grant_period));
@@ -117,11 +117,11 @@
 TEST(grantor, needs_a_majority_of_the_whole_set_to_recover) {
     grantor g{{"g", 2}, start};
     g.push(table_with(3, {"g", "h", "i", "j"}), start);
-    const std::uint64_t nonce = g.recovery_due(start)->nonce;
+    const std::uint64_t nonce = g.take_recovery_request(start)->nonce;
     for (const char* name : {"h", "i"})
-        g.recovered({{"g", 2}, nonce, {name, 1}, table_with(3, {"g", "h", "i", "j"}), {}}, start);
+        g.handle_recovery_reply({{"g", 2}, nonce, {name, 1}, table_with(3, {"g", "h", "i", "j"}), {}}, start);
     EXPECT_FALSE(is_granted(g, owner_a, 3, start + 10s));
-    g.recovered({{"g", 2}, nonce, {"j", 1}, table_with(3, {"g", "h", "i", "j"}), {}}, start);
+    g.handle_recovery_reply({{"g", 2}, nonce, {"j", 1}, table_with(3, {"g", "h", "i", "j"}), {}}, start);
     EXPECT_TRUE(is_granted(g, owner_a, 3, start + 10s));
 }
 
@@ -130,8 +130,8 @@
 TEST(grantor, single_grantor_does_not_recover_from_itself) {
     grantor g{{"g", 2}, start};
     g.push(table_with(3, {"g"}), start);
-    const std::uint64_t nonce = g.recovery_due(start)->nonce;
-    g.recovered({{"g", 2}, nonce, {"g", 1}, table_with(3, {"g"}), {}}, start);
+    const std::uint64_t nonce = g.take_recovery_request(start)->nonce;
+    g.handle_recovery_reply({{"g", 2}, nonce, {"g", 1}, table_with(3, {"g"}), {}}, start);
     EXPECT_FALSE(is_granted(g, owner_a, 3, start + 10s));
 }
 
@@ -139,9 +139,9 @@
 TEST(grantor, recovers_before_it_is_named) {
     grantor g{{"g", 1}, start};
     g.push(table_with(2, {"h", "i", "j"}), start);
-    const std::uint64_t nonce = g.recovery_due(start)->nonce;
+    const std::uint64_t nonce = g.take_recovery_request(start)->nonce;
     for (const char* name : {"h", "i"})
-        g.recovered({{"g", 1}, nonce, {name, 1}, table_with(2, {"h", "i", "j"}), {}}, start);
+        g.handle_recovery_reply({{"g", 1}, nonce, {name, 1}, table_with(2, {"h", "i", "j"}), {}}, start);
     g.push(table_with(3, {"g", "h", "i", "j"}), start + grant_period);
     EXPECT_TRUE(is_granted(g, owner_a, 3, start + grant_period));
 }
--- a/tests/job_simulation.h
+++ b/tests/job_simulation.h
@@ -176,7 +176,7 @@
             gained.partition = p;
             gained.epoch = epoch_;
             gained.is_first_epoch = first || options_.skips_query;
-            gained.suspects = {recorded_.begin(), recorded_.end()};
+            gained.previous_agents = {recorded_.begin(), recorded_.end()};
             perform(index, next.jobs->apply(gained, now_, wall()));
         }
         log_event(next.id.name + " owns all partitions in epoch " + std::to_string(epoch_));
--- a/tests/ownership_simulation.h
+++ b/tests/ownership_simulation.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "coordination/grant_set.h"
 #include "coordination/grantor.h"
+#include "coordination/majority.h"
 #include "coordination/ownership.h"
 #include "state/limits.h"
 
@@ -399,7 +399,7 @@
             if (const auto reply = logic.answer(*question))
                 send_to_entry(a, e, *reply);
         } else if (const auto* answer = std::get_if<recovery_reply>(&message))
-            logic.recovered(*answer, now);
+            logic.handle_recovery_reply(*answer, now);
         else if (const auto* wanted = std::get_if<content_request>(&message)) {
             if (logic.table().version > wanted->known_version)
                 send_to_entry(a, e, table_push{logic.table()});
@@ -433,7 +433,7 @@
 
     void apply_actions(std::size_t e, const ownership_actions& actions) {
         entry_process& entry = entries_[e];
-        for (const control_send& send : actions.sends)
+        for (const outgoing_control_message& send : actions.sends)
             send_to_agent(e, send.to, send.message);
         for (const partition_gain& gain : actions.gained)
             check_gain(entry, gain);
@@ -496,7 +496,7 @@
         });
     }
     bool commit(const table_write& write) {
-        if (write.expected_mod != (stored_ ? mod_revision_ : 0))
+        if (write.expected_mod_revision != (stored_ ? mod_revision_ : 0))
             return false;
         check_successor(write.table);
         stored_ = write.table;
@@ -552,8 +552,8 @@
         if (gain.is_first_epoch)
             return;
         for (const auto& [agent, recorded_at] : recorded_at_) {
-            const bool known =
-                std::find(gain.suspects.begin(), gain.suspects.end(), agent) != gain.suspects.end();
+            const bool known = std::find(gain.previous_agents.begin(), gain.previous_agents.end(), agent) !=
+                               gain.previous_agents.end();
             if (recorded_at <= last_owned_at_[gain.partition] && !known)
                 add_violation(entry.id.name + " did not receive the record of " + agent.name + " " +
                               std::to_string(agent.number));
@@ -625,14 +625,14 @@
             if (!entry.logic || entry.is_paused)
                 continue;
             apply_actions(e, entry.logic->tick(local_time(entry)));
-            if (entry.is_leaving && entry.logic->left())
+            if (entry.is_leaving && entry.logic->has_left())
                 kill_entry(e);
         }
         for (std::size_t a = 0; a < agents_.size(); ++a) {
             agent_process& agent = agents_[a];
             if (!agent.logic || agent.is_paused)
                 continue;
-            if (const auto question = agent.logic->recovery_due(local_time(agent))) {
+            if (const auto question = agent.logic->take_recovery_request(local_time(agent))) {
                 for (std::size_t e = 0; e < entries_.size(); ++e)
                     send_to_entry(a, e, *question);
             }
--- a/tests/ownership_test.cpp
+++ b/tests/ownership_test.cpp
@@ -51,7 +51,7 @@
     // Keeps the last grant request, recovery request, pushed table and table write, collects gained and
     // lost partitions, and counts store calls.
     void apply(const ownership_actions& actions) {
-        for (const control_send& send : actions.sends) {
+        for (const outgoing_control_message& send : actions.sends) {
             if (const auto* request = std::get_if<grant_request>(&send.message))
                 last_grant_request = *request;
             else if (const auto* question = std::get_if<recovery_request>(&send.message))
@@ -153,7 +153,7 @@
         entry.apply(entry.logic.table_acknowledged({entry.agent(i), 0, true, {}}, entry.now));
     entry.advance(1000ms);
     ASSERT_TRUE(entry.last_write);
-    EXPECT_EQ(entry.last_write->expected_mod, 0);
+    EXPECT_EQ(entry.last_write->expected_mod_revision, 0);
     EXPECT_EQ(entry.last_write->table.version, 1U);
     EXPECT_EQ(entry.last_write->table.grantors, grantor_names(3));
     EXPECT_EQ(entry.last_write->table.partitions.at(63).epoch, 1U);
@@ -170,7 +170,7 @@
         entry.apply(entry.logic.table_acknowledged({entry.agent(i), 9, true, {}}, entry.now));
     entry.advance(1900ms);
     ASSERT_TRUE(entry.last_write);
-    EXPECT_EQ(entry.last_write->expected_mod, 70);
+    EXPECT_EQ(entry.last_write->expected_mod_revision, 70);
     EXPECT_EQ(entry.last_write->table.version, 10U);
     EXPECT_EQ(entry.last_write->table.grantors, grantor_names(3));
     EXPECT_EQ(entry.last_write->table.partitions.at(0), (partition_owner{self, 5}));
@@ -258,7 +258,7 @@
     ASSERT_EQ(entry.gained.size(), 32U);
     EXPECT_EQ(entry.gained[0].epoch, 2U);
     EXPECT_FALSE(entry.gained[0].is_first_epoch);
-    EXPECT_EQ(entry.gained[0].suspects, (std::vector<incarnation>{{"x", 1}, {"y", 1}}));
+    EXPECT_EQ(entry.gained[0].previous_agents, (std::vector<incarnation>{{"x", 1}, {"y", 1}}));
 }
 
 // Guards against a takeover on the reports of a minority or on stale reports.
@@ -273,9 +273,9 @@
     entry.advance(300ms);
     EXPECT_FALSE(entry.last_write);
     entry.reply_all_grants({other});
-    entry.advance(change_jitter);
+    entry.advance(max_change_jitter);
     ASSERT_TRUE(entry.last_write);
-    EXPECT_EQ(entry.last_write->expected_mod, 50);
+    EXPECT_EQ(entry.last_write->expected_mod_revision, 50);
     EXPECT_EQ(entry.last_write->table.entries.size(), 1U);
     EXPECT_EQ(entry.last_write->table.partitions.at(0).epoch, 2U);
     EXPECT_EQ(entry.last_write->table.partitions.at(63), (partition_owner{self, 3}));
@@ -289,13 +289,13 @@
     ASSERT_TRUE(entry.last_write);
     const table_write first = *entry.last_write;
     entry.apply(entry.logic.table_written(table_write_result::unavailable, entry.now));
-    EXPECT_FALSE(entry.logic.left());
+    EXPECT_FALSE(entry.logic.has_left());
     const int table_reads = entry.table_reads;
     entry.advance(3s);
     EXPECT_EQ(entry.table_reads, table_reads + 1);
     entry.deliver_table(first.table, 51);
     EXPECT_EQ(entry.logic.table(), first.table);
-    EXPECT_TRUE(entry.logic.left());
+    EXPECT_TRUE(entry.logic.has_left());
     EXPECT_EQ(entry.lost.size(), 32U);
     EXPECT_EQ(entry.last_write->table.operation_id, first.table.operation_id);
 }
@@ -313,7 +313,7 @@
     entry.deliver_table(table_with(6, 3, 32, 2), 60);
     entry.acknowledge_all();
     entry.advance_with_grants(2s);
-    EXPECT_EQ(entry.last_write->expected_mod, 60);
+    EXPECT_EQ(entry.last_write->expected_mod_revision, 60);
     EXPECT_EQ(entry.last_write->table.version, 7U);
 }
 
@@ -403,9 +403,9 @@
     owner_table table = table_with(5, 3, 64, 2);
     table.entries.pop_back();
     entry.deliver_table(table, 50);
-    EXPECT_FALSE(entry.logic.left());
+    EXPECT_FALSE(entry.logic.has_left());
     entry.apply(entry.logic.leave(entry.now));
-    EXPECT_TRUE(entry.logic.left());
+    EXPECT_TRUE(entry.logic.has_left());
 }
 
 // Guards against an agent that starts tasks although a restarted grantor has lost its record, so that no
--- a/tests/session_keeper_test.cpp
+++ b/tests/session_manager_test.cpp
@@ -1,4 +1,4 @@
-#include "coordination/session_keeper.h"
+#include "coordination/session_manager.h"
 #include "coordination/store_keys.h"
 #include "standins/kv_model.h"
 
@@ -11,14 +11,14 @@
 namespace persimmonstile {
 namespace {
 
-// Runs one session_keeper against a model of the store that answers while is_store_up_ is set.
-class session_keeper_test : public testing::Test {
+// Runs one session_manager against a model of the store that answers while is_store_up_ is set.
+class session_manager_test : public testing::Test {
 protected:
     time_point now_{std::chrono::seconds{100}};
     kv_model store_;
     std::uint64_t last_number_ = 0;
-    session_keeper keeper_{make_member("entry"), [this] { return ++last_number_; }, 1};
-    std::vector<session_keeper::call> pending_calls_;
+    session_manager session_manager_{make_member("entry"), [this] { return ++last_number_; }, 1};
+    std::vector<session_manager::call> pending_calls_;
     bool is_store_up_ = true;
 
     static entry_record make_member(const std::string& name) {
@@ -31,10 +31,10 @@
     void answer_calls() {
         for (bool has_answered = true; has_answered;) {
             has_answered = false;
-            for (session_keeper::call& call : keeper_.take_calls(now_))
+            for (session_manager::call& call : session_manager_.take_calls(now_))
                 pending_calls_.push_back(std::move(call));
-            const std::vector<session_keeper::call> calls = std::exchange(pending_calls_, {});
-            for (const session_keeper::call& call : calls) {
+            const std::vector<session_manager::call> calls = std::exchange(pending_calls_, {});
+            for (const session_manager::call& call : calls) {
                 std::optional<store_reply> reply = store_failure{"no answer", true};
                 if (is_store_up_)
                     reply = store_.call(call.what, now_);
@@ -43,7 +43,7 @@
                     continue;
                 }
                 has_answered = true;
-                keeper_.replied(call.id, *reply, now_);
+                session_manager_.replied(call.id, *reply, now_);
             }
         }
     }
@@ -60,88 +60,88 @@
         entry_record record = make_member(session.name);
         record.session = session;
         store_.put(entry_key(session.name), record);
-        store_.put(alive_key(session), std::string{});
+        store_.put(liveness_key(session), std::string{});
     }
 };
 
 // Guards against a session whose liveness key expires because its lease is not renewed.
-TEST_F(session_keeper_test, begins_a_session_and_renews_its_lease) {
+TEST_F(session_manager_test, begins_a_session_and_renews_its_lease) {
     answer_calls();
-    ASSERT_EQ(keeper_.session().number, 1U);
-    EXPECT_TRUE(store_.items().contains(alive_key(keeper_.session())));
+    ASSERT_EQ(session_manager_.session().number, 1U);
+    EXPECT_TRUE(store_.items().contains(liveness_key(session_manager_.session())));
     advance_time(milliseconds{5000});
-    EXPECT_TRUE(store_.items().contains(alive_key(keeper_.session())));
-    EXPECT_EQ(keeper_.session().number, 1U);
+    EXPECT_TRUE(store_.items().contains(liveness_key(session_manager_.session())));
+    EXPECT_EQ(session_manager_.session().number, 1U);
 }
 
 // Guards against an entry whose claim was committed but whose answer was lost, and which then takes its own
 // record for that of another session and adopts it.
-TEST_F(session_keeper_test, recognizes_its_own_claim_when_the_answer_was_lost) {
-    for (int i = 0; i < 10 && keeper_.session().number == 0; ++i) {
-        for (const session_keeper::call& call : keeper_.take_calls(now_)) {
+TEST_F(session_manager_test, recognizes_its_own_claim_when_the_answer_was_lost) {
+    for (int i = 0; i < 10 && session_manager_.session().number == 0; ++i) {
+        for (const session_manager::call& call : session_manager_.take_calls(now_)) {
             std::optional<store_reply> reply = store_.call(call.what, now_);
             const bool is_claim = std::holds_alternative<store_write>(call.what);
             if (is_claim && i < 5)
                 reply = store_failure{"no answer", true};
             if (reply)
-                keeper_.replied(call.id, *reply, now_);
+                session_manager_.replied(call.id, *reply, now_);
         }
         now_ += milliseconds{100};
     }
-    EXPECT_EQ(keeper_.session().number, 1U);
+    EXPECT_EQ(session_manager_.session().number, 1U);
     answer_calls();
-    EXPECT_TRUE(keeper_.take_adopted().empty());
-    EXPECT_TRUE(keeper_.members().adoptions().empty());
+    EXPECT_TRUE(session_manager_.take_adopted().empty());
+    EXPECT_TRUE(session_manager_.members().adoptions().empty());
 }
 
 // Guards against jobs that wait for a lease to expire although the process that owned them has already
 // restarted.
-TEST_F(session_keeper_test, adopts_the_jobs_of_its_previous_process_at_once) {
+TEST_F(session_manager_test, adopts_the_jobs_of_its_previous_process_at_once) {
     const incarnation former{"entry", 77};
     add_other(former);
-    store_.put(open_key(former, "a"), open_job{});
+    store_.put(open_job_key(former, "a"), open_job{});
     answer_calls();
-    const auto adopted = keeper_.take_adopted();
+    const auto adopted = session_manager_.take_adopted();
     ASSERT_EQ(adopted.size(), 1U);
     EXPECT_EQ(adopted[0].record.former, former);
-    EXPECT_FALSE(adopted[0].may_live);
+    EXPECT_FALSE(adopted[0].may_be_running);
     EXPECT_EQ(adopted[0].jobs.size(), 1U);
 }
 
 // Guards against adopting the jobs of sessions that expired during a store outage before they can renew.
-TEST_F(session_keeper_test, gives_expired_sessions_time_to_return_after_an_outage) {
+TEST_F(session_manager_test, gives_expired_sessions_time_to_return_after_an_outage) {
     const incarnation other{"other", 9};
     add_other(other);
     answer_calls();
     advance_time(milliseconds{3000});
     is_store_up_ = false;
     advance_time(milliseconds{1000});
-    store_.remove(alive_key(other));
+    store_.remove(liveness_key(other));
     advance_time(milliseconds{1000});
     is_store_up_ = true;
     advance_time(milliseconds{1800});
-    EXPECT_TRUE(keeper_.take_adopted().empty());
+    EXPECT_TRUE(session_manager_.take_adopted().empty());
     advance_time(milliseconds{1500});
-    EXPECT_EQ(keeper_.take_adopted().size(), 1U);
+    EXPECT_EQ(session_manager_.take_adopted().size(), 1U);
 }
 
 // Guards against adopting the jobs of an entry that is alive and has only lost its liveness key.
-TEST_F(session_keeper_test, does_not_adopt_a_session_that_is_connected) {
+TEST_F(session_manager_test, does_not_adopt_a_session_that_is_connected) {
     const incarnation other{"other", 9};
     add_other(other);
-    keeper_.set_connected({other});
+    session_manager_.set_connected({other});
     answer_calls();
     advance_time(milliseconds{3000});
-    store_.remove(alive_key(other));
+    store_.remove(liveness_key(other));
     advance_time(milliseconds{5000});
-    EXPECT_TRUE(keeper_.take_adopted().empty());
-    keeper_.set_connected({});
+    EXPECT_TRUE(session_manager_.take_adopted().empty());
+    session_manager_.set_connected({});
     advance_time(milliseconds{1000});
-    EXPECT_EQ(keeper_.take_adopted().size(), 1U);
+    EXPECT_EQ(session_manager_.take_adopted().size(), 1U);
 }
 
 // Guards against jobs that wait for the adoption delay although their owner has announced that it leaves.
-TEST_F(session_keeper_test, adopts_the_jobs_of_a_leaving_entry_without_delay) {
+TEST_F(session_manager_test, adopts_the_jobs_of_a_leaving_entry_without_delay) {
     const incarnation other{"other", 9};
     add_other(other);
     answer_calls();
@@ -150,38 +150,38 @@
     leaving.session = other;
     leaving.is_leaving = true;
     store_.put(entry_key("other"), leaving);
-    store_.remove(alive_key(other));
+    store_.remove(liveness_key(other));
     advance_time(milliseconds{300});
-    EXPECT_EQ(keeper_.take_adopted().size(), 1U);
+    EXPECT_EQ(session_manager_.take_adopted().size(), 1U);
 }
 
 // Guards against a liveness key that stays deleted after its lease was revoked.
-TEST_F(session_keeper_test, rewrites_its_liveness_key_when_its_lease_is_gone) {
+TEST_F(session_manager_test, rewrites_its_liveness_key_when_its_lease_is_gone) {
     answer_calls();
     store_.revoke_leases();
     advance_time(milliseconds{1500});
-    EXPECT_TRUE(store_.items().contains(alive_key(keeper_.session())));
-    EXPECT_EQ(keeper_.session().number, 1U);
+    EXPECT_TRUE(store_.items().contains(liveness_key(session_manager_.session())));
+    EXPECT_EQ(session_manager_.session().number, 1U);
 }
 
 // Guards against a stale view of the members after the store has compacted the history that the watch
 // needs.
-TEST_F(session_keeper_test, lists_the_members_again_when_the_history_is_lost) {
+TEST_F(session_manager_test, lists_the_members_again_when_the_history_is_lost) {
     answer_calls();
-    for (const session_keeper::call& call : std::exchange(pending_calls_, {}))
-        keeper_.replied(call.id, history_lost{}, now_);
+    for (const session_manager::call& call : std::exchange(pending_calls_, {}))
+        session_manager_.replied(call.id, history_lost{}, now_);
     add_other({"other", 9});
     store_.compact();
     answer_calls();
-    EXPECT_NE(keeper_.members().find_entry("other"), nullptr);
+    EXPECT_NE(session_manager_.members().find_entry("other"), nullptr);
 }
 
 // Guards against two sessions of the same entry that both act as owner of its jobs.
-TEST_F(session_keeper_test, begins_another_session_when_its_record_is_replaced) {
+TEST_F(session_manager_test, begins_another_session_when_its_record_is_replaced) {
     answer_calls();
     store_.remove(entry_key("entry"));
     advance_time(milliseconds{300});
-    EXPECT_EQ(keeper_.session().number, 2U);
+    EXPECT_EQ(session_manager_.session().number, 2U);
 }
 
 } // namespace
