--- a/daemon/agent_daemon.cpp
+++ b/daemon/agent_daemon.cpp
@@ -344,7 +344,7 @@
 }
 
 void agent_daemon::config_received(const std::string& content) {
-    const auto view = fleet_.offer(content);
+    const auto view = fleet_.update_if_newer(content);
     if (!view)
         return;
     log_event(log_level::info, component, "configuration in use", {{"revision", view->revision}});
--- a/daemon/agent_daemon.h
+++ b/daemon/agent_daemon.h
@@ -3,7 +3,7 @@
 #include "coordination/agent_task_table.h"
 #include "coordination/grantor.h"
 #include "daemon/entry_links.h"
-#include "daemon/fleet_holder.h"
+#include "daemon/latest_fleet_config.h"
 #include "daemon/peer_dialer.h"
 #include "daemon/peer_session.h"
 #include "protocol/daemon_settings.h"
@@ -77,7 +77,7 @@
     incarnation self_;
     daemon_metrics metrics_;
     tracer tracer_;
-    fleet_holder fleet_;
+    latest_fleet_config fleet_;
     entry_links entries_;
     mutable std::mutex tasks_mutex_;
     agent_task_table tasks_;
--- a/daemon/durable_agent.cpp
+++ b/daemon/durable_agent.cpp
@@ -110,7 +110,7 @@
     next_listing_ = now + listing_interval;
     const store_call call = store_list{entry_prefix, {}};
     outside_.store(call, listing_timeout, [this, call, now](const store_reply& reply) {
-        metrics_.store_calls().answered(call, reply, clock_.now() - now);
+        metrics_.store_calls().record_call(call, reply, clock_.now() - now);
         run([&] { entries_listed(reply); });
     });
 }
--- a/daemon/durable_entry.cpp
+++ b/daemon/durable_entry.cpp
@@ -16,7 +16,7 @@
 constexpr const char* component = "entry";
 
 // Timers may fire late but not early. Shorter delays would only cause extra wake-ups.
-constexpr milliseconds shortest_wait{1};
+constexpr milliseconds min_timer_delay{1};
 
 // Short enough to detect a persistent queue of events within a fraction of
 // overload_thresholds::detection_time. Costs about a fiftieth of the work that requests cause.
@@ -39,23 +39,24 @@
 } // namespace
 
 durable_entry::durable_entry(asio::io_context& context, const daemon_settings& settings,
-                             const entry_limits& limits, const clock_source& clock, ports outside)
+                             const entry_limits& limits, const clock_source& clock,
+                             external_interfaces interfaces)
     : context_{context}
     , clock_{clock}
-    , outside_{std::move(outside)}
+    , interfaces_{std::move(interfaces)}
     , core_{{settings.name, random_number()}, make_member(settings), limits,
-            outside_.config_prefix,           random_number(),       random_number}
+            interfaces_.config_prefix,        random_number(),       random_number}
     , links_{context,
              clock,
              {[this](link_number link, bool is_dialed) {
-                  run([&] { core_.link_opened(link, is_dialed, clock_.now()); });
+                  handle_event([&] { core_.link_opened(link, is_dialed, clock_.now()); });
               },
-              [this](link_number link) { run([&] { core_.link_closed(link); }); },
+              [this](link_number link) { handle_event([&] { core_.link_closed(link); }); },
               [this](link_number link, const work_message& message) {
                   received(link, message);
               }}}
     , store_{clock,
-             {outside_.store,
+             {interfaces_.store,
               [this] {
                   std::vector<link_number> links;
                   for (const auto& [name, link] : core_.peers())
@@ -66,113 +67,113 @@
                   links_.send(link, message);
               }},
              entry_key(settings.name)}
-    , timer_{context}
-    , load_probe_{context}
+    , wakeup_timer_{context}
+    , load_probe_timer_{context}
     , own_address_{make_member(settings).peer_address} {
     links_.listen(settings.peer_address);
-    probe_load();
-    run([] {});
+    schedule_load_probe();
+    handle_event([] {});
 }
 
 // Applies an event to the core, performs the resulting output and schedules the next wake-up.
-void durable_entry::run(const std::function<void()>& event) {
+void durable_entry::handle_event(const std::function<void()>& event) {
     if (is_stopped_)
         return;
     event();
-    flush();
-    schedule();
+    perform_output();
+    schedule_wakeup();
 }
 
-void durable_entry::flush() {
+void durable_entry::perform_output() {
     const time_point now = clock_.now();
     if (core_.take_config_change()) {
-        if (auto config = outside_.decode_config(core_.operator_records().items(),
-                                                 core_.operator_records().revision(), core_.config()))
+        if (auto config = interfaces_.decode_config(core_.operator_records().items(),
+                                                    core_.operator_records().revision(), core_.config()))
             core_.set_config(std::move(config), now);
     }
     entry_output output = core_.take_output(now);
     for (const decision& made : output.decisions) {
-        metrics_.decided(made.what);
+        metrics_.record_decision(made.what);
         log_decision(component, made);
     }
     for (const auto& [what, time] : output.timings)
-        metrics_.measured(what, time);
+        metrics_.record_timing(what, time);
     for (const auto& [link, message] : output.messages)
         links_.send(link, message);
     for (const store_request& request : output.store_calls)
         call_store(request);
     for (const caller_reply& reply : output.replies) {
-        const auto found = replies_.find(reply.token);
-        if (found == replies_.end())
+        const auto found = open_requests_.find(reply.token);
+        if (found == open_requests_.end())
             continue;
         const open_request request = std::move(found->second);
-        replies_.erase(found);
-        metrics_.replied(reply, now - request.arrived);
+        open_requests_.erase(found);
+        metrics_.record_reply(reply, now - request.arrived);
         request.on_reply(reply);
     }
-    update_peers();
+    update_peer_connections();
 }
 
-void durable_entry::schedule() {
+void durable_entry::schedule_wakeup() {
     const time_point now = clock_.now();
-    const time_point due = std::max(core_.next_wakeup(now), now + shortest_wait);
-    if (timer_due_ > now && timer_due_ <= due)
+    const time_point due = std::max(core_.next_wakeup(now), now + min_timer_delay);
+    if (wakeup_due_ > now && wakeup_due_ <= due)
         return;
-    timer_due_ = due;
-    timer_.expires_after(due - now);
-    timer_.async_wait([this](asio::error_code error) {
+    wakeup_due_ = due;
+    wakeup_timer_.expires_after(due - now);
+    wakeup_timer_.async_wait([this](asio::error_code error) {
         if (error || is_stopped_)
             return;
-        timer_due_ = {};
+        wakeup_due_ = {};
         store_.tick();
-        run([this] { core_.tick(clock_.now(), clock_.wall_now()); });
+        handle_event([this] { core_.tick(clock_.now(), clock_.wall_now()); });
     });
 }
 
-void durable_entry::probe_load() {
+void durable_entry::schedule_load_probe() {
     const time_point due = clock_.now() + load_probe_interval;
-    load_probe_.expires_after(load_probe_interval);
-    load_probe_.async_wait([this, due](asio::error_code error) {
+    load_probe_timer_.expires_after(load_probe_interval);
+    load_probe_timer_.async_wait([this, due](asio::error_code error) {
         if (error || is_stopped_)
             return;
-        load_probed(due);
-        probe_load();
+        record_load_probe(due);
+        schedule_load_probe();
     });
 }
 
-void durable_entry::load_probed(time_point due) {
+void durable_entry::record_load_probe(time_point due) {
     const time_point now = clock_.now();
     const bool was_overloaded = overload_.is_overloaded();
     overload_.timer_fired(due, now);
     if (overload_.is_overloaded() == was_overloaded)
         return;
-    const auto late = std::chrono::duration_cast<milliseconds>(now - due);
+    const auto lateness = std::chrono::duration_cast<milliseconds>(now - due);
     if (was_overloaded)
         log_event(log_level::info, component, "no longer overloaded; ready for new connections");
     else
         log_event(log_level::warn, component, "overloaded; reporting not ready and shedding connections",
-                  {{"event_delay", late}, {"open_jobs", core_.open_jobs()}});
+                  {{"event_delay", lateness}, {"open_jobs", core_.open_jobs()}});
 }
 
 void durable_entry::call_store(const store_request& request) {
-    store_.call(request.call, request.timeout,
-                [this, request, called = clock_.now()](const store_reply& reply) {
-                    metrics_.store_calls().answered(request.call, reply, clock_.now() - called);
-                    run([&] { core_.store_replied(request.id, reply, clock_.now(), clock_.wall_now()); });
-                });
+    store_.call(
+        request.call, request.timeout, [this, request, called = clock_.now()](const store_reply& reply) {
+            metrics_.store_calls().record_call(request.call, reply, clock_.now() - called);
+            handle_event([&] { core_.store_replied(request.id, reply, clock_.now(), clock_.wall_now()); });
+        });
 }
 
 void durable_entry::received(link_number link, const work_message& message) {
     if (const auto* call = std::get_if<relayed_store_call>(&message))
-        store_.serve(link, *call);
+        store_.serve_peer(link, *call);
     else if (const auto* reply = std::get_if<relayed_store_reply>(&message))
-        store_.relayed(*reply);
+        store_.process_relayed_reply(*reply);
     else
-        run([&] { core_.received(link, message, clock_.now(), clock_.wall_now()); });
+        handle_event([&] { core_.received(link, message, clock_.now(), clock_.wall_now()); });
 }
 
 // Of each pair of entries, the one with the smaller address opens the connection.
-void durable_entry::update_peers() {
+void durable_entry::update_peer_connections() {
     if (core_.members().version() == members_version_)
         return;
     members_version_ = core_.members().version();
@@ -181,56 +182,56 @@
         if (own_address_ < state.record.peer_address)
             addresses.insert(state.record.peer_address);
     }
-    if (addresses == dialed_)
+    if (addresses == dialed_addresses_)
         return;
-    dialed_ = addresses;
+    dialed_addresses_ = addresses;
     links_.set_dialed(addresses);
 }
 
 caller_token durable_entry::submit(job_submission request, reply_handler on_reply) {
     const caller_token token = ++last_token_;
     request.token = token;
-    replies_[token] = {std::move(on_reply), clock_.now()};
-    run([&] { core_.submit(request, clock_.now(), clock_.wall_now()); });
+    open_requests_[token] = {std::move(on_reply), clock_.now()};
+    handle_event([&] { core_.submit(request, clock_.now(), clock_.wall_now()); });
     return token;
 }
 
 void durable_entry::caller_left(caller_token token) {
-    replies_.erase(token);
-    run([&] { core_.caller_left(token, clock_.now()); });
+    open_requests_.erase(token);
+    handle_event([&] { core_.caller_left(token, clock_.now()); });
 }
 
 void durable_entry::query_state(const job_id& job, time_point answer_by, reply_handler on_reply) {
     const caller_token token = ++last_token_;
-    replies_[token] = {std::move(on_reply), clock_.now()};
-    run([&] { core_.query_state(token, job, answer_by, clock_.now()); });
+    open_requests_[token] = {std::move(on_reply), clock_.now()};
+    handle_event([&] { core_.query_state(token, job, answer_by, clock_.now()); });
 }
 
 void durable_entry::cancel(const job_id& job, time_point answer_by, reply_handler on_reply) {
     const caller_token token = ++last_token_;
-    replies_[token] = {std::move(on_reply), clock_.now()};
-    run([&] { core_.cancel(token, job, answer_by, clock_.now(), clock_.wall_now()); });
+    open_requests_[token] = {std::move(on_reply), clock_.now()};
+    handle_event([&] { core_.cancel(token, job, answer_by, clock_.now(), clock_.wall_now()); });
 }
 
 void durable_entry::begin_shutdown(milliseconds refuse_after, milliseconds hand_over_after) {
     const time_point now = clock_.now();
-    run([&] { core_.begin_shutdown(now + refuse_after, now + hand_over_after, now); });
+    handle_event([&] { core_.begin_shutdown(now + refuse_after, now + hand_over_after, now); });
 }
 
 void durable_entry::answer_waiting_callers() {
-    run([this] { core_.answer_waiting_callers(); });
+    handle_event([this] { core_.answer_waiting_callers(); });
 }
 
 std::string durable_entry::metrics_text() {
-    metrics_.observe(core_);
+    metrics_.update_gauges(core_);
     metrics_.set_overloaded(overload_.is_overloaded());
     return metrics_.prometheus_text();
 }
 
 void durable_entry::stop() {
     is_stopped_ = true;
-    timer_.cancel();
-    load_probe_.cancel();
+    wakeup_timer_.cancel();
+    load_probe_timer_.cancel();
     links_.stop();
 }
 
--- a/daemon/durable_entry.h
+++ b/daemon/durable_entry.h
@@ -34,7 +34,7 @@
 public:
     using reply_handler = std::function<void(const caller_reply&)>;
 
-    struct ports {
+    struct external_interfaces {
         store_caller store;
         config_decoder decode_config;
         // Store key prefix of the operators' records.
@@ -43,7 +43,7 @@
 
     // Binds the peer address. Throws std::exception if that fails.
     durable_entry(asio::io_context& context, const daemon_settings& settings, const entry_limits& limits,
-                  const clock_source& clock, ports outside);
+                  const clock_source& clock, external_interfaces interfaces);
 
     // Submits a job. on_reply is called at most once. Returns the token of the request, for caller_left().
     caller_token submit(job_submission request, reply_handler on_reply);
@@ -59,7 +59,7 @@
     bool is_overloaded() const { return overload_.is_overloaded(); }
     // True if the connection should be closed after the answer that is sent now, so that the caller opens a
     // new one.
-    bool wants_to_close_connection() {
+    bool should_close_connection() {
         return core_.is_shutting_down() || shedding_.should_close(is_overloaded(), clock_.now());
     }
     const entry_core& core() const { return core_; }
@@ -71,29 +71,29 @@
     void begin_shutdown(milliseconds refuse_after, milliseconds hand_over_after);
     // Answers all waiting callers. Called when the process is about to exit.
     void answer_waiting_callers();
-    bool is_drained() const { return core_.has_left() && replies_.empty(); }
+    bool is_drained() const { return core_.has_left() && open_requests_.empty(); }
     void stop();
 
 private:
-    void run(const std::function<void()>& event);
-    void flush();
-    void schedule();
-    void probe_load();
-    void load_probed(time_point due);
+    void handle_event(const std::function<void()>& event);
+    void perform_output();
+    void schedule_wakeup();
+    void schedule_load_probe();
+    void record_load_probe(time_point due);
     void call_store(const store_request& request);
     void received(link_number link, const work_message& message);
-    void update_peers();
+    void update_peer_connections();
 
     asio::io_context& context_;
     const clock_source& clock_;
-    ports outside_;
+    external_interfaces interfaces_;
     entry_core core_;
     link_hub links_;
     store_router store_;
-    asio::steady_timer timer_;
-    time_point timer_due_{};
+    asio::steady_timer wakeup_timer_;
+    time_point wakeup_due_{};
     // Fires at a fixed interval. Its lateness shows how long events wait to be processed.
-    asio::steady_timer load_probe_;
+    asio::steady_timer load_probe_timer_;
     overload_detector overload_;
     connection_shedder shedding_;
     std::string own_address_;
@@ -102,9 +102,9 @@
         reply_handler on_reply;
         time_point arrived{};
     };
-    std::unordered_map<caller_token, open_request> replies_;
+    std::unordered_map<caller_token, open_request> open_requests_;
     entry_metrics metrics_;
-    std::set<std::string> dialed_;
+    std::set<std::string> dialed_addresses_;
     std::uint64_t members_version_ = 0;
     bool is_flushing_ = false;
     bool is_stopped_ = false;
--- a/daemon/entry_api.cpp
+++ b/daemon/entry_api.cpp
@@ -43,7 +43,7 @@
 }
 
 struct wait_query {
-    bool valid = true;
+    bool is_valid = true;
     std::optional<std::chrono::milliseconds> wait;
 };
 
@@ -55,9 +55,9 @@
     const std::string_view digits = query.substr(wait_parameter.size());
     std::int64_t value = 0;
     const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value);
-    const bool valid =
+    const bool is_valid =
         error == std::errc{} && end == digits.data() + digits.size() && value >= 0 && value <= max_wait_ms;
-    if (!valid)
+    if (!is_valid)
         return {false, std::nullopt};
     return {true, std::chrono::milliseconds{value}};
 }
@@ -65,7 +65,7 @@
 // Reports invalid job ids and queries. These checks don't depend on the body.
 void add_target_findings(const job_id& job, const wait_query& query, const http_request& request,
                          wall_time now, request_findings& problems) {
-    if (!query.valid)
+    if (!query.is_valid)
         problems.push_back(
             {"query", "wait_ms=N with N from 0 to " + std::to_string(max_wait_ms), request.query});
     if (!is_valid_job_id(job))
@@ -110,10 +110,10 @@
 
 } // namespace
 
-entry_api::entry_api(const clock_source& clock, caller_desk& desk, daemon_metrics& metrics, tracer& spans,
-                     daemon_view daemon)
+entry_api::entry_api(const clock_source& clock, request_router& router, daemon_metrics& metrics,
+                     tracer& spans, daemon_callbacks daemon)
     : clock_{clock}
-    , desk_{desk}
+    , request_router_{router}
     , metrics_{metrics}
     , tracer_{spans}
     , daemon_{std::move(daemon)} {}
@@ -129,12 +129,12 @@
         return;
     }
     if (request.method == "GET")
-        respond(observe(path));
+        respond(handle_get(path));
     else
         respond(to_http(make_problem(404, "Not found", "no such resource")));
 }
 
-http_response entry_api::observe(const std::string& path) const {
+http_response entry_api::handle_get(const std::string& path) const {
     if (path == "/healthz")
         return plain(200, "ok\n");
     if (path == "/readyz")
@@ -169,10 +169,10 @@
         respond(to_http(make_problem(404, "Unknown job", "not a valid job id")));
         return;
     }
-    caller_request asked;
-    asked.kind = request.method == "GET" ? caller_request_kind::lookup : caller_request_kind::cancel;
-    asked.job = job;
-    ask(std::move(asked), respond);
+    caller_request owner_request;
+    owner_request.kind = request.method == "GET" ? caller_request_kind::lookup : caller_request_kind::cancel;
+    owner_request.job = job;
+    start_request(std::move(owner_request), respond);
 }
 
 void entry_api::handle_single_request(const job_id& job, const http_request& request,
@@ -199,27 +199,28 @@
         respond(to_http(make_findings_response(400, "Invalid request", problems)));
         return;
     }
-    caller_request asked;
-    asked.kind = caller_request_kind::submit;
-    asked.job = job;
-    asked.spec = std::make_shared<const job_spec>(std::move(std::get<job_spec>(parsed)));
-    asked.traceparent = request.traceparent;
-    asked.wait = query.wait;
-    ask(std::move(asked), respond);
+    caller_request owner_request;
+    owner_request.kind = caller_request_kind::submit;
+    owner_request.job = job;
+    owner_request.spec = std::make_shared<const job_spec>(std::move(std::get<job_spec>(parsed)));
+    owner_request.traceparent = request.traceparent;
+    owner_request.wait = query.wait;
+    start_request(std::move(owner_request), respond);
 }
 
-void entry_api::ask(caller_request asked, const http_responder& respond) {
+void entry_api::start_request(caller_request owner_request, const http_responder& respond) {
     const time_point received = clock_.now();
-    const bool is_submission = asked.kind == caller_request_kind::submit;
-    const job_id job = asked.job;
-    trace_span span = tracer_.begin(trace_hop::entry, tracer_.accept(asked.traceparent));
+    const bool is_submission = owner_request.kind == caller_request_kind::submit;
+    const job_id job = owner_request.job;
+    trace_span span = tracer_.begin(trace_hop::entry, tracer_.accept(owner_request.traceparent));
     span.job = job;
-    if (asked.spec) {
-        span.service = asked.spec->service;
-        span.team = asked.spec->team;
+    if (owner_request.spec) {
+        span.service = owner_request.spec->service;
+        span.team = owner_request.spec->team;
     }
-    asked.traceparent = format_traceparent(span.context);
-    desk_.ask(std::move(asked), [this, received, is_submission, job, respond, span](const job_reply& reply) {
+    owner_request.traceparent = format_traceparent(span.context);
+    request_router_.start_request(std::move(owner_request), [this, received, is_submission, job, respond,
+                                                             span](const job_reply& reply) {
         if (is_submission && std::holds_alternative<job_outcome>(reply)) {
             metrics_.jobs.add(label_of_reply(reply));
             metrics_.response_time.record(clock_.now() - received);
--- a/daemon/entry_daemon.cpp
+++ b/daemon/entry_daemon.cpp
@@ -56,15 +56,15 @@
               tracer_,
               metrics_,
               journal_,
-              [this](const caller_answer& answer) { desk_.deliver(answer); },
+              [this](const caller_answer& answer) { request_router_.process_engine_answer(answer); },
               [this](const partition_handover& handover) {
                   hand_over(handover);
               }}
-    , desk_{clock, self_,
-            [this](const incarnation& to, const task_message& message) {
-                metrics_.messages.add(kind_of(message));
-                return entries_.send(to, message);
-            }}
+    , request_router_{clock, self_,
+                      [this](const incarnation& to, const task_message& message) {
+                          metrics_.messages.add(kind_of(message));
+                          return entries_.send(to, message);
+                      }}
     , io_{settings_.threads}
     , control_{asio::make_strand(io_.context())}
     , tick_timer_{control_}
@@ -82,15 +82,15 @@
                   open_session(session);
               }}
     , ownership_{self_, peer_address_, settings_.minimum_grantors} {
-    desk_.attach(engine_);
+    request_router_.set_engine(engine_);
     store_ = std::make_unique<store_worker>(
         settings_.store_endpoints, settings_.cell, clock_, random_seed(),
         [this](const std::string& content) { stored_config_received(content); });
-    api_ = std::make_unique<entry_api>(clock_, desk_, metrics_, tracer_,
-                                       entry_api::daemon_view{[this] { return status(); },
-                                                              [this] {
-                                                                  return ready_ && !draining_;
-                                                              }});
+    api_ = std::make_unique<entry_api>(clock_, request_router_, metrics_, tracer_,
+                                       entry_api::daemon_callbacks{[this] { return status(); },
+                                                                   [this] {
+                                                                       return is_ready_ && !is_draining_;
+                                                                   }});
     http_limits limits;
     limits.max_body_bytes = max_http_body_bytes;
     http_ = std::make_unique<http_server>(settings_.http_address, http_threads, limits,
@@ -108,17 +108,18 @@
 }
 
 void entry_daemon::begin_shutdown() {
-    draining_ = true;
+    is_draining_ = true;
     log_event(log_level::info, component, "graceful shutdown started");
     asio::post(control_, [this] { perform(ownership_.leave(clock_.now())); });
 }
 
 bool entry_daemon::is_drained() {
-    const bool served = draining_ && left_ && desk_.waiting_callers() == 0 && http_->open_requests() == 0;
-    if (!served)
+    const bool is_served =
+        is_draining_ && has_left_ && request_router_.waiting_callers() == 0 && http_->open_requests() == 0;
+    if (!is_served)
         return false;
     // Answers to other entries must be written before the process ends.
-    if (!closing_.exchange(true)) {
+    if (!is_closing_.exchange(true)) {
         dialer_.stop();
         entries_.close_gracefully();
     }
@@ -126,7 +127,7 @@
 }
 
 void entry_daemon::stop() {
-    if (std::exchange(stopped_, true))
+    if (std::exchange(is_stopped_, true))
         return;
     http_->stop();
     store_->stop();
@@ -143,7 +144,7 @@
 void entry_daemon::open_session(const std::shared_ptr<peer_session>& session) {
     session->connection->start(
         [this, session](frame_kind kind, std::string_view payload) { receive(session, kind, payload); },
-        [this, session](const std::string& reason) { closed(session, reason); });
+        [this, session](const std::string& reason) { connection_closed(session, reason); });
     const encoded_frame hello = encode_control_message(entry_hello{self_, peer_address_});
     session->connection->send(hello.kind, hello.payload);
 }
@@ -165,19 +166,19 @@
                 metrics_.wasted_messages.add(message_kind::dispatch);
             }
         }
-        engine_.reported(*reports);
+        engine_.process_reports(*reports);
     } else if (const auto* report = std::get_if<job_report>(&message)) {
-        engine_.query_answered(*report);
+        engine_.process_query_answer(*report);
     } else if (!session.entry) {
         log_event(log_level::warn, component, "message from a peer that has not sent a hello");
     } else if (const auto* handover = std::get_if<partition_handover>(&message)) {
         handover_received(*handover);
     } else if (const auto* result = std::get_if<job_result>(&message)) {
-        desk_.deliver_forwarded(*session.entry, *result);
+        request_router_.process_owner_answer(*session.entry, *result);
     } else if (const auto* job = std::get_if<forward_job>(&message)) {
-        desk_.forwarded(*session.entry, *job);
+        request_router_.process_forwarded_request(*session.entry, *job);
     } else if (const auto* lookup = std::get_if<forward_lookup>(&message)) {
-        desk_.forwarded(*session.entry, *lookup);
+        request_router_.process_forwarded_request(*session.entry, *lookup);
     }
 }
 
@@ -201,13 +202,14 @@
     }
 }
 
-void entry_daemon::closed(const std::shared_ptr<peer_session>& session, const std::string& reason) {
+void entry_daemon::connection_closed(const std::shared_ptr<peer_session>& session,
+                                     const std::string& reason) {
     log_event(log_level::debug, component, "connection closed", {{"reason", reason}});
     if (!session->address.empty())
         dialer_.lost(session->address);
     const frame_connection* connection = session->connection.get();
     if (const auto entry = entries_.remove(connection))
-        desk_.entry_disconnected(*entry);
+        request_router_.entry_disconnected(*entry);
     asio::post(control_, [this, keep = session->connection] {
         if (const auto agent = agents_.disconnected(keep.get())) {
             engine_.agent_disconnected(*agent);
@@ -234,7 +236,7 @@
     pong.sent_ns = ping.sent_ns;
     pong.lease_ns = ownership_.lease_left(clock_.now()).count();
     pong.version = ownership_.table().version;
-    pong.revision = fleet_.revision();
+    pong.revision = fleet_config_.revision();
     pong.recorded = ownership_.is_recorded(agent);
     const encoded_frame frame = encode_control_message(pong);
     connection->send(frame.kind, frame.payload);
@@ -248,10 +250,10 @@
         connection->send(frame.kind, frame.payload);
     };
     if (const auto* reply = std::get_if<grant_reply>(&message)) {
-        if (reply->revision > fleet_.revision())
-            answer(content_request{ownership_.table().version, fleet_.revision()});
-        else if (reply->revision < fleet_.revision())
-            answer(fleet_.push());
+        if (reply->revision > fleet_config_.revision())
+            answer(content_request{ownership_.table().version, fleet_config_.revision()});
+        else if (reply->revision < fleet_config_.revision())
+            answer(fleet_config_.push());
         perform(ownership_.grant_replied(*reply, now));
     } else if (const auto* ack = std::get_if<table_ack>(&message)) {
         perform(ownership_.table_acknowledged(*ack, now));
@@ -262,12 +264,12 @@
     } else if (const auto* request = std::get_if<content_request>(&message)) {
         if (ownership_.table().version > request->known_version)
             answer(table_push{ownership_.table()});
-        if (fleet_.revision() > request->known_revision)
-            answer(fleet_.push());
-    } else if (const auto* asked = std::get_if<recovery_request>(&message)) {
-        agents_.send_to_others(asked->requester, *asked);
-    } else if (const auto* parting = std::get_if<agent_departure>(&message)) {
-        engine_.agent_parted(*parting);
+        if (fleet_config_.revision() > request->known_revision)
+            answer(fleet_config_.push());
+    } else if (const auto* recovery_query = std::get_if<recovery_request>(&message)) {
+        agents_.send_to_others(recovery_query->requester, *recovery_query);
+    } else if (const auto* departure = std::get_if<agent_departure>(&message)) {
+        engine_.agent_departed(*departure);
     } else if (const auto* recovery = std::get_if<recovery_reply>(&message)) {
         if (recovery->requester == self_)
             perform(ownership_.records_replied(*recovery, now));
@@ -282,12 +284,12 @@
         agents_.send(send.to, send.message);
     }
     for (const partition_id partition : actions.lost)
-        engine_.lose(partition);
+        engine_.lose_partition(partition);
     for (const partition_gain& gained : actions.gained) {
-        engine_.gain(gained);
+        engine_.gain_partition(gained);
         const auto handover = handovers_.find(gained.partition);
         if (handover != handovers_.end()) {
-            engine_.handed_over(handover->second);
+            engine_.process_handover(handover->second);
             handovers_.erase(handover);
         }
         for (const incarnation& gone : agents_.expect(gained.previous_agents))
@@ -300,8 +302,8 @@
         store_->read_table([this](const table_read_result& result) {
             asio::post(control_, [this, result] {
                 const time_point now = clock_.now();
-                perform(result.available ? ownership_.table_read(result.table, result.mod_revision, now)
-                                         : ownership_.table_unavailable(now));
+                perform(result.is_available ? ownership_.table_read(result.table, result.mod_revision, now)
+                                            : ownership_.table_unavailable(now));
             });
         });
     if (actions.write)
@@ -323,14 +325,14 @@
 // gains the partition.
 void entry_daemon::handover_received(const partition_handover& handover) {
     asio::post(control_, [this, handover] {
-        engine_.handed_over(handover);
+        engine_.process_handover(handover);
         handovers_[handover.partition] = handover;
     });
 }
 
 void entry_daemon::table_changed() {
     const owner_table& table = ownership_.table();
-    desk_.set_table(table);
+    request_router_.set_table(table);
     engine_.set_entry_count(static_cast<std::uint32_t>(std::max<std::size_t>(1, table.entries.size())));
     std::set<std::string> addresses;
     for (const entry_address& entry : table.entries) {
@@ -360,14 +362,14 @@
 }
 
 void entry_daemon::config_received(const std::string& content) {
-    const auto view = fleet_.offer(content);
+    const auto view = fleet_config_.update_if_newer(content);
     if (!view)
         return;
     log_event(log_level::info, component, "configuration in use", {{"revision", view->revision}});
     metrics_.configuration_revision.set(static_cast<std::int64_t>(view->revision));
     ownership_.set_config_revision(view->revision);
     engine_.set_fleet(view);
-    agents_.send_to_others({}, fleet_.push());
+    agents_.send_to_others({}, fleet_config_.push());
 }
 
 void entry_daemon::schedule_tick() {
@@ -387,13 +389,13 @@
         engine_.agent_gone(lost);
     }
     engine_.tick();
-    desk_.tick();
-    left_ = ownership_.has_left();
-    ready_ = !ownership_.table().partitions.empty() && fleet_.revision() > 0;
-    write_gauges();
+    request_router_.tick();
+    has_left_ = ownership_.has_left();
+    is_ready_ = !ownership_.table().partitions.empty() && fleet_config_.revision() > 0;
+    update_gauges();
 }
 
-void entry_daemon::write_gauges() {
+void entry_daemon::update_gauges() {
     metrics_.waiting_tasks.set(static_cast<std::int64_t>(engine_.waiting_tasks()));
     metrics_.connections.set(
         static_cast<std::int64_t>(agents_.connected_agents().size() + entries_.connected().size()));
@@ -410,7 +412,7 @@
     std::size_t current = 0;
     for (const agent_status& agent : agents_.statuses()) {
         const bool grants = std::find(grantors.begin(), grantors.end(), agent.agent.name) != grantors.end();
-        if (grants && agent.revision >= fleet_.revision())
+        if (grants && agent.revision >= fleet_config_.revision())
             ++current;
     }
     return 2 * current > grantors.size();
@@ -422,10 +424,10 @@
         entry_status status;
         const owner_table& table = ownership_.table();
         status.name = self_.name;
-        status.revision = fleet_.revision();
+        status.revision = fleet_config_.revision();
         status.version = table.version;
         status.in_force = in_force();
-        status.draining = draining_;
+        status.draining = is_draining_;
         status.active_jobs = engine_.active_jobs();
         status.waiting_tasks = engine_.waiting_tasks();
         status.agents = agents_.statuses();
--- a/daemon/entry_daemon.h
+++ b/daemon/entry_daemon.h
@@ -2,13 +2,13 @@
 
 #include "coordination/ownership.h"
 #include "daemon/agent_hub.h"
-#include "daemon/caller_desk.h"
 #include "daemon/entry_api.h"
 #include "daemon/entry_links.h"
-#include "daemon/fleet_holder.h"
 #include "daemon/job_engine.h"
+#include "daemon/latest_fleet_config.h"
 #include "daemon/peer_dialer.h"
 #include "daemon/peer_session.h"
+#include "daemon/request_router.h"
 #include "daemon/store_worker.h"
 #include "protocol/daemon_settings.h"
 #include "state/clock_source.h"
@@ -55,7 +55,7 @@
     void receive(const std::shared_ptr<peer_session>& session, frame_kind kind, std::string_view payload);
     void receive_task(peer_session& session, const task_message& message);
     void receive_control(const std::shared_ptr<peer_session>& session, const control_message& message);
-    void closed(const std::shared_ptr<peer_session>& session, const std::string& reason);
+    void connection_closed(const std::shared_ptr<peer_session>& session, const std::string& reason);
 
     // These functions run on the control strand, except stored_config_received() and handover_received().
     void agent_status_received(const agent_status& status,
@@ -75,7 +75,7 @@
     bool in_force() const;
 
     entry_status status();
-    void write_gauges();
+    void update_gauges();
 
     daemon_settings settings_;
     const clock_source& clock_;
@@ -83,11 +83,11 @@
     daemon_metrics metrics_;
     tracer tracer_;
     event_journal journal_;
-    fleet_holder fleet_;
+    latest_fleet_config fleet_config_;
     agent_hub agents_;
     entry_links entries_;
     job_engine engine_;
-    caller_desk desk_;
+    request_router request_router_;
     io_threads io_;
     asio::strand<asio::io_context::executor_type> control_;
     asio::steady_timer tick_timer_;
@@ -99,11 +99,11 @@
     std::unique_ptr<store_worker> store_;
     std::unique_ptr<entry_api> api_;
     std::unique_ptr<http_server> http_;
-    std::atomic<bool> draining_{false};
-    std::atomic<bool> left_{false};
-    std::atomic<bool> ready_{false};
-    std::atomic<bool> closing_{false};
-    bool stopped_ = false;
+    std::atomic<bool> is_draining_{false};
+    std::atomic<bool> has_left_{false};
+    std::atomic<bool> is_ready_{false};
+    std::atomic<bool> is_closing_{false};
+    bool is_stopped_ = false;
 };
 
 } // namespace persimmonstile
--- a/daemon/entry_metrics.cpp
+++ b/daemon/entry_metrics.cpp
@@ -29,40 +29,41 @@
 entry_metrics::entry_metrics()
     : store_calls_{registry_} {
     for (const metric_family* family : std::initializer_list<const metric_family*>{
-             &decisions_, &replies_, &refusals_, &response_, &queue_, &start_, &run_, &record_, &open_jobs_,
-             &agents_, &peers_, &session_, &overloaded_, &configuration_version_, &configuration_revision_})
+             &decisions_, &replies_, &refusals_, &response_time_, &queue_time_, &start_time_, &run_time_,
+             &record_time_, &open_jobs_, &agents_, &peers_, &session_open_, &overloaded_,
+             &configuration_version_, &configuration_revision_})
         registry_.add(*family);
 }
 
-void entry_metrics::measured(entry_timing what, std::chrono::nanoseconds time) {
+void entry_metrics::record_timing(entry_timing what, std::chrono::nanoseconds time) {
     switch (what) {
     case entry_timing::queue:
-        queue_.record(time);
+        queue_time_.record(time);
         return;
     case entry_timing::start:
-        start_.record(time);
+        start_time_.record(time);
         return;
     case entry_timing::run:
-        run_.record(time);
+        run_time_.record(time);
         return;
     case entry_timing::record:
-        record_.record(time);
+        record_time_.record(time);
         return;
     }
 }
 
-void entry_metrics::replied(const caller_reply& reply, std::chrono::nanoseconds elapsed) {
-    response_.record(elapsed);
+void entry_metrics::record_reply(const caller_reply& reply, std::chrono::nanoseconds elapsed) {
+    response_time_.record(elapsed);
     replies_.add({kind_name(reply.kind), to_string(reply.state)});
     if (reply.kind == caller_reply_kind::refused)
         refusals_.add({to_string(reply.reason)});
 }
 
-void entry_metrics::observe(const entry_core& core) {
+void entry_metrics::update_gauges(const entry_core& core) {
     open_jobs_.set(static_cast<std::int64_t>(core.open_jobs()));
     agents_.set(static_cast<std::int64_t>(core.connected_agents()));
     peers_.set(static_cast<std::int64_t>(core.peers().size()));
-    session_.set(core.session().number != 0 ? 1 : 0);
+    session_open_.set(core.session().number != 0 ? 1 : 0);
     configuration_version_.set(core.config() == nullptr ? 0
                                                         : static_cast<std::int64_t>(core.config()->version));
     configuration_revision_.set(static_cast<std::int64_t>(core.operator_records().change_revision()));
--- a/daemon/job_engine.cpp
+++ b/daemon/job_engine.cpp
@@ -24,23 +24,23 @@
 
 // Applies one event under the shard's lock. Clock ticks that end no job and free no memory
 // are not written to the journal.
-template <typename Event> job_actions job_engine::decide(shard& target, const Event& event) {
+template <typename Event> job_actions job_engine::apply_event(shard& target, const Event& event) {
     const std::lock_guard lock{target.mutex};
     const time_point now = clock_.now();
     const wall_time wall = clock_.wall_now();
-    const std::size_t retained = target.jobs.retained_bytes();
+    const std::size_t retained_before = target.jobs.retained_bytes();
     job_actions actions = target.jobs.apply(event, now, wall);
     if (!journal_.is_enabled())
         return actions;
-    const bool idle_tick = std::is_same_v<Event, clock_tick> && actions.ended.empty() &&
-                           target.jobs.retained_bytes() == retained;
-    if (!idle_tick)
+    const bool is_idle_tick = std::is_same_v<Event, clock_tick> && actions.ended.empty() &&
+                              target.jobs.retained_bytes() == retained_before;
+    if (!is_idle_tick)
         journal_.record(target.number, event, actions, now, wall);
     return actions;
 }
 
 template <typename Event> void job_engine::apply(shard& target, const Event& event) {
-    perform(decide(target, event));
+    perform(apply_event(target, event));
     dispatch_waiting();
 }
 
@@ -95,7 +95,7 @@
         decision.result = has_lease() ? admission_result::refused : admission_result::abandoned;
         decision.refusal = *refusal;
     }
-    perform(decide(shard_of(request.job), decision));
+    perform(apply_event(shard_of(request.job), decision));
 }
 
 void job_engine::dispatch_waiting() {
@@ -108,7 +108,7 @@
     }
     for (assignment& chosen : assignments) {
         chosen.revision = revision();
-        perform(decide(shard_of(chosen.job), chosen));
+        perform(apply_event(shard_of(chosen.job), chosen));
     }
 }
 
@@ -117,11 +117,11 @@
     return fleet_ ? fleet_->revision : 0;
 }
 
-void job_engine::gain(const partition_gain& gained) {
-    perform(decide(*shards_[gained.partition % shard_count], gained));
+void job_engine::gain_partition(const partition_gain& gained) {
+    perform(apply_event(*shards_[gained.partition % shard_count], gained));
 }
 
-void job_engine::lose(partition_id partition) {
+void job_engine::lose_partition(partition_id partition) {
     apply(*shards_[partition % shard_count], partition_loss{partition});
 }
 
@@ -144,14 +144,14 @@
     span.service = request.spec->service;
     span.team = request.spec->team;
     request.traceparent = format_traceparent(span.context);
-    const job_actions actions = decide(shard_of(request.job), request);
+    const job_actions actions = apply_event(shard_of(request.job), request);
     if (actions.accepted && tracer_.is_enabled())
-        keep_span(std::move(span));
+        store_span(std::move(span));
     perform(actions);
     dispatch_waiting();
 }
 
-void job_engine::keep_span(trace_span span) {
+void job_engine::store_span(trace_span span) {
     const std::lock_guard lock{spans_mutex_};
     const job_id job = span.job;
     spans_.insert_or_assign(job, std::move(span));
@@ -174,15 +174,15 @@
 }
 
 void job_engine::forget_caller(const job_id& job, caller_token token) {
-    perform(decide(shard_of(job), caller_departure{job, token}));
+    perform(apply_event(shard_of(job), caller_departure{job, token}));
 }
 
-void job_engine::reported(const task_reports& reports) {
-    perform(decide(shard_of(reports.job), reports), &reports);
+void job_engine::process_reports(const task_reports& reports) {
+    perform(apply_event(shard_of(reports.job), reports), &reports);
     dispatch_waiting();
 }
 
-void job_engine::query_answered(const job_report& report) {
+void job_engine::process_query_answer(const job_report& report) {
     apply(shard_of(report.job), report);
 }
 
@@ -192,8 +192,8 @@
         scheduler_.agent_changed(status, clock_.now());
     }
     if (is_new_connection) {
-        for (const auto& entry : shards_)
-            apply(*entry, agent_presence{status.agent, false, revision()});
+        for (const auto& target_shard : shards_)
+            apply(*target_shard, agent_presence{status.agent, false, revision()});
     }
     dispatch_waiting();
 }
@@ -208,16 +208,16 @@
         const std::lock_guard lock{scheduler_mutex_};
         scheduler_.agent_gone(agent, clock_.now());
     }
-    for (const auto& entry : shards_)
-        apply(*entry, agent_presence{agent, true, revision()});
+    for (const auto& target_shard : shards_)
+        apply(*target_shard, agent_presence{agent, true, revision()});
 }
 
-void job_engine::agent_parted(const agent_departure& parting) {
-    for (const auto& entry : shards_)
-        apply(*entry, parting);
+void job_engine::agent_departed(const agent_departure& departure) {
+    for (const auto& target_shard : shards_)
+        apply(*target_shard, departure);
 }
 
-void job_engine::handed_over(const partition_handover& handover) {
+void job_engine::process_handover(const partition_handover& handover) {
     apply(*shards_[handover.partition % shard_count], handover);
 }
 
@@ -239,23 +239,23 @@
 }
 
 void job_engine::set_lease(time_point until) {
-    lease_until_ = until.time_since_epoch().count();
+    lease_expires_at_ = until.time_since_epoch().count();
 }
 
 bool job_engine::has_lease() const {
-    return clock_.now().time_since_epoch().count() < lease_until_;
+    return clock_.now().time_since_epoch().count() < lease_expires_at_;
 }
 
 void job_engine::tick() {
-    for (const auto& entry : shards_)
-        apply(*entry, clock_tick{});
+    for (const auto& target_shard : shards_)
+        apply(*target_shard, clock_tick{});
 }
 
 std::size_t job_engine::active_jobs() const {
     std::size_t count = 0;
-    for (const auto& entry : shards_) {
-        const std::lock_guard lock{entry->mutex};
-        count += entry->jobs.active_jobs();
+    for (const auto& target_shard : shards_) {
+        const std::lock_guard lock{target_shard->mutex};
+        count += target_shard->jobs.active_jobs();
     }
     return count;
 }
--- a/daemon/job_engine.h
+++ b/daemon/job_engine.h
@@ -33,20 +33,20 @@
     job_engine(const clock_source& clock, agent_hub& agents, tracer& spans, daemon_metrics& metrics,
                event_journal& journal, answer_handler on_answer, handover_handler on_handover);
 
-    void gain(const partition_gain& gained);
-    void lose(partition_id partition);
+    void gain_partition(const partition_gain& gained);
+    void lose_partition(partition_id partition);
 
     void submit(validated_submission request);
     void lookup(const forward_lookup& request);
     void forget_caller(const job_id& job, caller_token token);
 
-    void reported(const task_reports& reports);
-    void query_answered(const job_report& report);
+    void process_reports(const task_reports& reports);
+    void process_query_answer(const job_report& report);
     void agent_connected(const agent_status& status, bool is_new_connection);
     void agent_disconnected(const incarnation& agent);
     void agent_gone(const incarnation& agent);
-    void agent_parted(const agent_departure& parting);
-    void handed_over(const partition_handover& handover);
+    void agent_departed(const agent_departure& departure);
+    void process_handover(const partition_handover& handover);
 
     void set_fleet(std::shared_ptr<const fleet_view> fleet);
     void set_entry_count(std::uint32_t entries);
@@ -70,7 +70,7 @@
     };
 
     shard& shard_of(const job_id& job) { return *shards_[partition_of(job) % shard_count]; }
-    template <typename Event> job_actions decide(shard& target, const Event& event);
+    template <typename Event> job_actions apply_event(shard& target, const Event& event);
     template <typename Event> void apply(shard& target, const Event& event);
     void perform(const job_actions& actions, const task_reports* reports = nullptr);
     void update_scheduler(const job_actions& actions, const task_reports* reports);
@@ -78,7 +78,7 @@
     void dispatch_waiting();
     config_revision revision() const;
 
-    void keep_span(trace_span span);
+    void store_span(trace_span span);
     void end_span(const ended_job& ended);
 
     const clock_source& clock_;
@@ -93,7 +93,7 @@
     scheduler scheduler_{std::random_device{}()};
     mutable std::mutex fleet_mutex_;
     std::shared_ptr<const fleet_view> fleet_;
-    std::atomic<time_point::rep> lease_until_{0};
+    std::atomic<time_point::rep> lease_expires_at_{0};
     std::mutex spans_mutex_;
     // Trace spans of the jobs that have not ended.
     std::unordered_map<job_id, trace_span> spans_;
--- a/daemon/fleet_holder.cpp
+++ b/daemon/latest_fleet_config.cpp
@@ -1,4 +1,4 @@
-#include "daemon/fleet_holder.h"
+#include "daemon/latest_fleet_config.h"
 
 #include "protocol/fleet_document.h"
 #include "transport/logging.h"
@@ -7,7 +7,7 @@
 
 namespace persimmonstile {
 
-std::shared_ptr<const fleet_view> fleet_holder::offer(const std::string& content) {
+std::shared_ptr<const fleet_view> latest_fleet_config::update_if_newer(const std::string& content) {
     auto decoded = decode_fleet_document(content);
     if (const auto* problems = std::get_if<config_findings>(&decoded)) {
         for (const config_finding& problem : *problems)
@@ -24,17 +24,17 @@
     return view;
 }
 
-std::shared_ptr<const fleet_view> fleet_holder::view() const {
+std::shared_ptr<const fleet_view> latest_fleet_config::view() const {
     const std::lock_guard lock{mutex_};
     return view_;
 }
 
-config_revision fleet_holder::revision() const {
+config_revision latest_fleet_config::revision() const {
     const std::lock_guard lock{mutex_};
     return view_ ? view_->revision : 0;
 }
 
-config_push fleet_holder::push() const {
+config_push latest_fleet_config::push() const {
     const std::lock_guard lock{mutex_};
     return {view_ ? view_->revision : 0, content_};
 }
--- a/daemon/fleet_holder.h
+++ b/daemon/latest_fleet_config.h
@@ -11,11 +11,11 @@
 
 // Holds the newest fleet configuration that this process has received. Never replaces a revision with an
 // older one, whatever the store or a peer returns. Thread-safe.
-class fleet_holder {
+class latest_fleet_config {
 public:
     // Stores the document if it is valid and newer than the current one. Returns the decoded view, or nullptr
     // if the document was not stored.
-    std::shared_ptr<const fleet_view> offer(const std::string& content);
+    std::shared_ptr<const fleet_view> update_if_newer(const std::string& content);
 
     std::shared_ptr<const fleet_view> view() const;
     config_revision revision() const;
--- a/daemon/caller_desk.cpp
+++ b/daemon/request_router.cpp
@@ -1,4 +1,4 @@
-#include "daemon/caller_desk.h"
+#include "daemon/request_router.h"
 
 #include <utility>
 
@@ -7,13 +7,13 @@
 namespace {
 
 // A takeover takes about 3 s. A request that finds no owner for this long fails.
-constexpr std::chrono::milliseconds unsent_limit{8000};
+constexpr std::chrono::milliseconds max_unsent_time{8000};
 constexpr std::chrono::milliseconds unsent_retry_hint{2000};
 
 // The owner answers by the deadline. If no answer has come this much later, the owner is assumed to have
 // failed without a successor.
-constexpr std::chrono::milliseconds answer_margin{8000};
-constexpr std::chrono::milliseconds longest_default_deadline{120000};
+constexpr std::chrono::milliseconds owner_answer_margin{8000};
+constexpr std::chrono::milliseconds max_default_deadline{120000};
 
 job_outcome no_owner_refusal() {
     job_failed failed;
@@ -32,32 +32,32 @@
 
 } // namespace
 
-caller_desk::caller_desk(const clock_source& clock, incarnation self, forward_function forward)
+request_router::request_router(const clock_source& clock, incarnation self, forward_function forward)
     : clock_{clock}
     , self_{std::move(self)}
     , forward_{std::move(forward)} {}
 
-void caller_desk::ask(caller_request request, reply_handler on_reply) {
+void request_router::start_request(caller_request request, reply_handler on_reply) {
     route(add(std::move(request), std::move(on_reply)));
 }
 
-void caller_desk::forwarded(const incarnation& origin, const forward_job& message) {
+void request_router::process_forwarded_request(const incarnation& origin, const forward_job& message) {
     caller_request request;
     request.kind = caller_request_kind::submit;
     request.job = message.job;
     request.spec = std::make_shared<const job_spec>(message.spec);
     request.traceparent = message.traceparent;
-    submit_here(add(request, remote_caller{origin, message.token}), request);
+    submit_to_own_engine(add(request, remote_caller{origin, message.token}), request);
 }
 
-void caller_desk::forwarded(const incarnation& origin, const forward_lookup& message) {
+void request_router::process_forwarded_request(const incarnation& origin, const forward_lookup& message) {
     caller_request request;
     request.kind = message.cancel ? caller_request_kind::cancel : caller_request_kind::lookup;
     request.job = message.job;
-    submit_here(add(request, remote_caller{origin, message.token}), request);
+    submit_to_own_engine(add(request, remote_caller{origin, message.token}), request);
 }
 
-caller_token caller_desk::add(caller_request request, std::variant<reply_handler, remote_caller> caller) {
+caller_token request_router::add(caller_request request, std::variant<reply_handler, remote_caller> caller) {
     const std::lock_guard lock{mutex_};
     const caller_token token = next_token_++;
     pending& added = pending_[token];
@@ -68,34 +68,35 @@
     return token;
 }
 
-void caller_desk::route(caller_token token) {
+void request_router::route(caller_token token) {
     caller_request request;
     incarnation owner;
     {
         const std::lock_guard lock{mutex_};
         const auto found = pending_.find(token);
-        if (found == pending_.end() || found->second.where != place::unsent || owners_.empty())
+        if (found == pending_.end() || found->second.location != request_location::unsent || owners_.empty())
             return;
         owner = owners_.at(partition_of(found->second.request.job)).owner;
         if (owner == self_ && !engine_->has_lease())
             return;
-        found->second.where = owner == self_ ? place::own_engine : place::other_entry;
+        found->second.location =
+            owner == self_ ? request_location::own_engine : request_location::other_entry;
         found->second.sent_to = owner;
         request = found->second.request;
     }
     if (owner == self_)
-        submit_here(token, request);
+        submit_to_own_engine(token, request);
     else if (!send_to(owner, token, request))
         mark_unsent(token);
 }
 
-void caller_desk::submit_here(caller_token token, const caller_request& request) {
+void request_router::submit_to_own_engine(caller_token token, const caller_request& request) {
     {
         const std::lock_guard lock{mutex_};
         const auto found = pending_.find(token);
         if (found == pending_.end())
             return;
-        found->second.where = place::own_engine;
+        found->second.location = request_location::own_engine;
     }
     switch (request.kind) {
     case caller_request_kind::submit: {
@@ -114,14 +115,14 @@
     }
 }
 
-bool caller_desk::send_to(const incarnation& owner, caller_token token, const caller_request& request) {
-    bool sent = false;
+bool request_router::send_to(const incarnation& owner, caller_token token, const caller_request& request) {
+    bool is_sent = false;
     if (request.kind == caller_request_kind::submit)
-        sent = forward_(owner, forward_job{token, request.job, *request.spec, request.traceparent});
+        is_sent = forward_(owner, forward_job{token, request.job, *request.spec, request.traceparent});
     else
-        sent =
+        is_sent =
             forward_(owner, forward_lookup{token, request.job, request.kind == caller_request_kind::cancel});
-    if (!sent)
+    if (!is_sent)
         return false;
     const std::lock_guard lock{mutex_};
     const auto found = pending_.find(token);
@@ -130,19 +131,19 @@
     return true;
 }
 
-void caller_desk::mark_unsent(caller_token token) {
+void request_router::mark_unsent(caller_token token) {
     const std::lock_guard lock{mutex_};
     const auto found = pending_.find(token);
     if (found == pending_.end())
         return;
-    if (found->second.where != place::unsent)
+    if (found->second.location != request_location::unsent)
         found->second.unsent_since = clock_.now();
-    found->second.where = place::unsent;
-    found->second.confirming = false;
+    found->second.location = request_location::unsent;
+    found->second.is_confirming = false;
 }
 
-void caller_desk::deliver(const caller_answer& answer) {
-    const bool rejected = std::holds_alternative<job_wrong_owner>(answer.reply);
+void request_router::process_engine_answer(const caller_answer& answer) {
+    const bool is_rejected = std::holds_alternative<job_wrong_owner>(answer.reply);
     bool is_local = false;
     {
         const std::lock_guard lock{mutex_};
@@ -150,38 +151,39 @@
         if (found == pending_.end())
             return;
         // The request has since been forwarded to another owner. Only that owner's answer is used.
-        if (found->second.where != place::own_engine)
+        if (found->second.location != request_location::own_engine)
             return;
         is_local = std::holds_alternative<reply_handler>(found->second.caller);
         // The engine may have accepted the job before it lost the partition.
         found->second.was_sent = true;
     }
-    if (rejected && is_local)
+    if (is_rejected && is_local)
         mark_unsent(answer.token);
     else
         finish(answer.token, answer.reply);
 }
 
-void caller_desk::deliver_forwarded(const incarnation& owner, const job_result& result) {
+void request_router::process_owner_answer(const incarnation& owner, const job_result& result) {
     bool is_submission = false;
     {
         const std::lock_guard lock{mutex_};
         const auto found = pending_.find(result.token);
-        const bool expected = found != pending_.end() && found->second.where == place::other_entry &&
-                              found->second.sent_to == owner;
-        if (!expected)
+        const bool is_expected = found != pending_.end() &&
+                                 found->second.location == request_location::other_entry &&
+                                 found->second.sent_to == owner;
+        if (!is_expected)
             return;
         is_submission = found->second.request.kind == caller_request_kind::submit;
     }
     // An owner that does not know a submitted job has lost it, so the job is submitted again.
-    const bool unknown = is_submission && std::holds_alternative<job_not_found>(result.reply);
-    if (unknown || std::holds_alternative<job_wrong_owner>(result.reply))
+    const bool is_unknown_job = is_submission && std::holds_alternative<job_not_found>(result.reply);
+    if (is_unknown_job || std::holds_alternative<job_wrong_owner>(result.reply))
         mark_unsent(result.token);
     else
         finish(result.token, result.reply);
 }
 
-void caller_desk::finish(caller_token token, const job_reply& reply) {
+void request_router::finish(caller_token token, const job_reply& reply) {
     pending ended;
     {
         const std::lock_guard lock{mutex_};
@@ -199,40 +201,40 @@
     forward_(remote.origin, job_result{remote.token, ended.request.job, reply});
 }
 
-void caller_desk::set_table(const owner_table& table) {
-    std::vector<caller_token> moved;
+void request_router::set_table(const owner_table& table) {
+    std::vector<caller_token> reassigned_requests;
     {
         const std::lock_guard lock{mutex_};
         owners_ = table.partitions;
         for (const auto& [token, waiting] : pending_) {
-            if (owners_.empty() || waiting.where != place::other_entry)
+            if (owners_.empty() || waiting.location != request_location::other_entry)
                 continue;
             if (owners_.at(partition_of(waiting.request.job)).owner != waiting.sent_to)
-                moved.push_back(token);
+                reassigned_requests.push_back(token);
         }
     }
-    for (const caller_token token : moved)
+    for (const caller_token token : reassigned_requests)
         mark_unsent(token);
 }
 
-void caller_desk::entry_disconnected(const incarnation& entry) {
-    std::vector<caller_token> cut_off;
+void request_router::entry_disconnected(const incarnation& entry) {
+    std::vector<caller_token> disconnected_requests;
     {
         const std::lock_guard lock{mutex_};
         for (const auto& [token, waiting] : pending_) {
-            if (waiting.where == place::other_entry && waiting.sent_to == entry)
-                cut_off.push_back(token);
+            if (waiting.location == request_location::other_entry && waiting.sent_to == entry)
+                disconnected_requests.push_back(token);
         }
     }
-    for (const caller_token token : cut_off)
+    for (const caller_token token : disconnected_requests)
         mark_unsent(token);
 }
 
-void caller_desk::tick() {
+void request_router::tick() {
     struct expired_request {
         caller_token token = 0;
         job_id job;
-        place where = place::unsent;
+        request_location location = request_location::unsent;
         job_reply reply;
     };
     struct confirmation {
@@ -248,11 +250,11 @@
         for (auto& [token, waiting] : pending_) {
             std::optional<job_reply> reply = expired_reply(waiting, now);
             if (reply)
-                expired.push_back({token, waiting.request.job, waiting.where, std::move(*reply)});
-            else if (waiting.where == place::unsent)
+                expired.push_back({token, waiting.request.job, waiting.location, std::move(*reply)});
+            else if (waiting.location == request_location::unsent)
                 unsent.push_back(token);
             else if (needs_confirmation(waiting, now)) {
-                waiting.confirming = true;
+                waiting.is_confirming = true;
                 unconfirmed.push_back({waiting.sent_to, {token, waiting.request.job, false}});
             }
         }
@@ -262,7 +264,7 @@
     for (const confirmation& asked : unconfirmed)
         forward_(asked.owner, asked.lookup);
     for (const expired_request& ended : expired) {
-        if (ended.where == place::own_engine)
+        if (ended.location == request_location::own_engine)
             engine_->forget_caller(ended.job, ended.token);
         finish(ended.token, ended.reply);
     }
@@ -270,30 +272,32 @@
         route(token);
 }
 
-bool caller_desk::needs_confirmation(const pending& waiting, time_point now) {
-    return std::holds_alternative<reply_handler>(waiting.caller) && waiting.where == place::other_entry &&
-           !waiting.confirming && waiting.request.wait && now >= waiting.asked + *waiting.request.wait;
+bool request_router::needs_confirmation(const pending& waiting, time_point now) {
+    return std::holds_alternative<reply_handler>(waiting.caller) &&
+           waiting.location == request_location::other_entry && !waiting.is_confirming &&
+           waiting.request.wait && now >= waiting.asked + *waiting.request.wait;
 }
 
-std::optional<job_reply> caller_desk::expired_reply(const pending& waiting, time_point now) const {
+std::optional<job_reply> request_router::expired_reply(const pending& waiting, time_point now) const {
     if (std::holds_alternative<remote_caller>(waiting.caller))
         return std::nullopt;
-    const bool waited_enough = waiting.request.wait && now >= waiting.asked + *waiting.request.wait;
-    if (waited_enough && waiting.where == place::own_engine)
+    const bool is_wait_over = waiting.request.wait && now >= waiting.asked + *waiting.request.wait;
+    if (is_wait_over && waiting.location == request_location::own_engine)
         return job_pending{};
-    const bool unsent = waiting.where == place::unsent;
-    if (unsent && now >= waiting.unsent_since + unsent_limit)
+    const bool unsent = waiting.location == request_location::unsent;
+    if (unsent && now >= waiting.unsent_since + max_unsent_time)
         return waiting.was_sent ? lost_owner_failure() : no_owner_refusal();
     if (waiting.request.kind != caller_request_kind::submit)
         return std::nullopt;
     const auto deadline =
-        waiting.request.spec->deadline_ms > 0 ? waiting.request.spec->deadline() : longest_default_deadline;
-    if (waiting.where == place::other_entry && now >= waiting.asked + deadline + answer_margin)
+        waiting.request.spec->deadline_ms > 0 ? waiting.request.spec->deadline() : max_default_deadline;
+    if (waiting.location == request_location::other_entry &&
+        now >= waiting.asked + deadline + owner_answer_margin)
         return lost_owner_failure();
     return std::nullopt;
 }
 
-std::size_t caller_desk::waiting_callers() const {
+std::size_t request_router::waiting_callers() const {
     const std::lock_guard lock{mutex_};
     return pending_.size();
 }
--- a/daemon/caller_desk.h
+++ b/daemon/request_router.h
@@ -39,28 +39,28 @@
 // Routes the requests of this entry's callers to the owners of the jobs and returns the owners' answers. A
 // request is sent again if its owner changes or cannot be reached. Job ids make requests idempotent, so this
 // is safe.
-class caller_desk {
+class request_router {
 public:
     using reply_handler = std::function<void(const job_reply&)>;
     // Sends a message to another entry; false if it is not connected.
     using forward_function = std::function<bool(const incarnation& owner, const task_message& message)>;
 
-    caller_desk(const clock_source& clock, incarnation self, forward_function forward);
+    request_router(const clock_source& clock, incarnation self, forward_function forward);
 
     // Must be called before any request arrives. The engine's answers must be passed to this object.
-    void attach(job_engine& engine) { engine_ = &engine; }
+    void set_engine(job_engine& engine) { engine_ = &engine; }
 
     // Handles a request from a caller of this entry. on_reply is called exactly once.
-    void ask(caller_request request, reply_handler on_reply);
+    void start_request(caller_request request, reply_handler on_reply);
     // Handles a request that another entry forwarded to this one.
-    void forwarded(const incarnation& origin, const forward_job& message);
-    void forwarded(const incarnation& origin, const forward_lookup& message);
+    void process_forwarded_request(const incarnation& origin, const forward_job& message);
+    void process_forwarded_request(const incarnation& origin, const forward_lookup& message);
 
     // Handles the engine's answer to the request with answer.token.
-    void deliver(const caller_answer& answer);
+    void process_engine_answer(const caller_answer& answer);
     // Handles another entry's answer to a forwarded request. The answer is ignored unless that entry is the
     // last one that the request was sent to: a deposed owner may refuse a job that its successor is running.
-    void deliver_forwarded(const incarnation& owner, const job_result& result);
+    void process_owner_answer(const incarnation& owner, const job_result& result);
 
     void set_table(const owner_table& table);
     void entry_disconnected(const incarnation& entry);
@@ -73,7 +73,7 @@
 
 private:
     // Where a request is being processed.
-    enum class place : std::uint8_t { unsent, own_engine, other_entry };
+    enum class request_location : std::uint8_t { unsent, own_engine, other_entry };
 
     // A caller of another entry (origin), which identifies the request by its own token.
     struct remote_caller {
@@ -84,18 +84,18 @@
     struct pending {
         caller_request request;
         std::variant<reply_handler, remote_caller> caller;
-        place where = place::unsent;
+        request_location location = request_location::unsent;
         incarnation sent_to;
         bool was_sent = false;
         // The caller's wait is over, and the owner has been asked whether it accepted the job.
-        bool confirming = false;
+        bool is_confirming = false;
         time_point asked;
         time_point unsent_since;
     };
 
     caller_token add(caller_request request, std::variant<reply_handler, remote_caller> caller);
     void route(caller_token token);
-    void submit_here(caller_token token, const caller_request& request);
+    void submit_to_own_engine(caller_token token, const caller_request& request);
     bool send_to(const incarnation& owner, caller_token token, const caller_request& request);
     void finish(caller_token token, const job_reply& reply);
     void mark_unsent(caller_token token);
--- a/daemon/early_requests.h
+++ b/daemon/startup_requests.h
@@ -11,16 +11,16 @@
 namespace persimmonstile {
 
 // Limits for requests that wait for the first configuration.
-struct early_limits {
+struct startup_request_limits {
     // A restarted entry reads the configuration within some tens of milliseconds after it starts to listen. A
     // longer wait would use up the caller's latency objective.
-    milliseconds patience{300};
+    milliseconds max_wait{300};
     // The number of requests that arrive within that time in the largest deployment.
-    std::size_t most = 300;
+    std::size_t max_requests = 300;
 };
 
 // A request that arrived before the configuration was read.
-struct early_request {
+struct startup_request {
     http_request request;
     http_responder respond;
     time_point arrived{};
@@ -28,9 +28,9 @@
 
 // Holds requests that arrive before the process has read its configuration, for a bounded time. Refusing them
 // immediately after a restart would fail callers that can be served some tens of milliseconds later.
-class early_requests {
+class startup_requests {
 public:
-    explicit early_requests(const early_limits& limits = {})
+    explicit startup_requests(const startup_request_limits& limits = {})
         : limits_{limits} {}
 
     // Returns false if the limit is reached. The caller must then answer the request immediately.
@@ -38,14 +38,14 @@
     // Drops the requests of a closed connection.
     void connection_closed(std::uint64_t connection);
     // Removes and returns all held requests, oldest first.
-    std::vector<early_request> take_all();
+    std::vector<startup_request> take_all();
     // Removes and returns the requests that have waited too long.
-    std::vector<early_request> take_expired(time_point now);
+    std::vector<startup_request> take_expired(time_point now);
     bool is_empty() const { return waiting_.empty(); }
 
 private:
-    early_limits limits_;
-    std::deque<early_request> waiting_;
+    startup_request_limits limits_;
+    std::deque<startup_request> waiting_;
 };
 
 } // namespace persimmonstile
--- a/daemon/store_call_metrics.cpp
+++ b/daemon/store_call_metrics.cpp
@@ -14,7 +14,7 @@
     "failed",  "applied", "conflict",     "found",       "missing",
     "listing", "changes", "history_lost", "lease_valid", "lease_missing"};
 
-std::string_view result_of(const store_reply& reply) {
+std::string_view result_label(const store_reply& reply) {
     const auto* failure = std::get_if<store_failure>(&reply);
     if (failure != nullptr && failure->may_have_applied)
         return "unanswered";
@@ -25,14 +25,14 @@
 
 store_call_metrics::store_call_metrics(metric_registry& registry) {
     registry.add(calls_);
-    registry.add(time_);
+    registry.add(call_time_);
 }
 
-void store_call_metrics::answered(const store_call& call, const store_reply& reply,
-                                  std::chrono::nanoseconds elapsed) {
-    calls_.add({kinds[call.index()], result_of(reply)});
+void store_call_metrics::record_call(const store_call& call, const store_reply& reply,
+                                     std::chrono::nanoseconds elapsed) {
+    calls_.add({kinds[call.index()], result_label(reply)});
     if (!std::holds_alternative<store_watch>(call))
-        time_.record(elapsed);
+        call_time_.record(elapsed);
 }
 
 } // namespace persimmonstile
--- a/daemon/store_call_metrics.h
+++ b/daemon/store_call_metrics.h
@@ -16,13 +16,13 @@
     explicit store_call_metrics(metric_registry& registry);
 
     // Records an answered call. The duration of a watch is not recorded, because a watch waits for a change.
-    void answered(const store_call& call, const store_reply& reply, std::chrono::nanoseconds elapsed);
+    void record_call(const store_call& call, const store_reply& reply, std::chrono::nanoseconds elapsed);
 
 private:
     text_counter_family calls_{
         "persimmonstile_store_calls_total", "Calls to the store by kind and result.", {"kind", "result"}};
-    duration_histogram time_{"persimmonstile_store_call_seconds",
-                             "Time from a call to the store to its answer, without watches."};
+    duration_histogram call_time_{"persimmonstile_store_call_seconds",
+                                  "Time from a call to the store to its answer, without watches."};
 };
 
 } // namespace persimmonstile
--- a/daemon/store_router.h
+++ b/daemon/store_router.h
@@ -29,7 +29,7 @@
 // takes effect at most once.
 class store_router {
 public:
-    struct ports {
+    struct external_interfaces {
         store_caller direct;
         // Links to the peers that can relay calls for this process.
         std::function<std::vector<link_number>()> peers;
@@ -37,14 +37,14 @@
     };
 
     // While direct calls fail, probe_key is read periodically to find out whether the store answers again.
-    store_router(const clock_source& clock, ports outside, std::string probe_key);
+    store_router(const clock_source& clock, external_interfaces interfaces, std::string probe_key);
 
     void call(const store_call& request, milliseconds timeout, store_reply_handler on_reply);
 
     // Makes a direct call for a peer and sends it the reply.
-    void serve(link_number link, const relayed_store_call& request);
+    void serve_peer(link_number link, const relayed_store_call& request);
     // Handles a peer's reply to a relayed call.
-    void relayed(const relayed_store_reply& reply);
+    void process_relayed_reply(const relayed_store_reply& reply);
     // Fails relayed calls whose timeout has expired, and probes the store if direct calls fail. Must be
     // called at least every 100 ms.
     void tick();
@@ -54,7 +54,7 @@
 private:
     struct pending_relay {
         store_reply_handler on_reply;
-        time_point expires{};
+        time_point expires_at{};
     };
 
     void call_directly(const store_call& request, milliseconds timeout, store_reply_handler on_reply);
@@ -62,12 +62,12 @@
     void probe();
 
     const clock_source& clock_;
-    ports outside_;
+    external_interfaces interfaces_;
     std::string probe_key_;
     std::uint64_t last_token_ = 0;
-    std::map<std::uint64_t, pending_relay> relays_;
+    std::map<std::uint64_t, pending_relay> pending_relays_;
     std::size_t next_peer_ = 0;
-    unsigned failures_ = 0;
+    unsigned consecutive_failures_ = 0;
     std::optional<time_point> direct_failing_since_;
     time_point last_probe_{};
 };
--- a/daemon/store_worker.cpp
+++ b/daemon/store_worker.cpp
@@ -13,7 +13,7 @@
 constexpr const char* component = "store";
 // A watch is restarted after this time, so that a dead connection to the store is detected.
 constexpr milliseconds watch_timeout{5000};
-constexpr std::chrono::milliseconds retry_pause{500};
+constexpr std::chrono::milliseconds retry_delay{500};
 
 etcd_store_settings store_settings(const std::vector<std::string>& endpoints) {
     etcd_store_settings settings;
@@ -42,7 +42,7 @@
 void store_worker::stop() {
     {
         const std::lock_guard lock{mutex_};
-        if (std::exchange(stopping_, true))
+        if (std::exchange(is_stopping_, true))
             return;
         calls_.clear();
     }
@@ -61,7 +61,7 @@
             auto decoded = decode_owner_table(value->value);
             result.mod_revision = static_cast<std::int64_t>(value->mod_revision);
             if (auto* table = std::get_if<owner_table>(&decoded)) {
-                result.available = true;
+                result.is_available = true;
                 result.table = std::move(*table);
             } else {
                 log_event(log_level::error, component, "the owner table in the store could not be decoded",
@@ -71,7 +71,7 @@
             log_event(log_level::warn, component, "the owner table could not be read",
                       {{"detail", failure->detail}});
         } else {
-            result.available = true;
+            result.is_available = true;
         }
         on_result(result);
     });
@@ -96,7 +96,7 @@
 
 void store_worker::set_watching(bool watching) {
     const std::lock_guard lock{mutex_};
-    watching_ = watching;
+    is_watching_ = watching;
     changed_.notify_all();
 }
 
@@ -105,8 +105,8 @@
         std::function<void()> call;
         {
             std::unique_lock lock{mutex_};
-            changed_.wait(lock, [this] { return stopping_ || !calls_.empty(); });
-            if (stopping_)
+            changed_.wait(lock, [this] { return is_stopping_ || !calls_.empty(); });
+            if (is_stopping_)
                 return;
             call = std::move(calls_.front());
             calls_.pop_front();
@@ -124,29 +124,29 @@
 
 bool store_worker::wait_until_watching() {
     std::unique_lock lock{mutex_};
-    changed_.wait(lock, [this] { return stopping_ || watching_; });
-    return !stopping_;
+    changed_.wait(lock, [this] { return is_stopping_ || is_watching_; });
+    return !is_stopping_;
 }
 
 void store_worker::read_config_once() {
     const get_result answer = store_.get(config_key(cell_));
     if (const auto* value = std::get_if<stored_value>(&answer)) {
-        config_mod_ = value->mod_revision;
+        config_mod_revision_ = value->mod_revision;
         on_config_(value->value);
     }
 }
 
 void store_worker::watch_once() {
-    const wait_result answer = store_.wait_for_change(config_key(cell_), config_mod_, watch_timeout);
+    const wait_result answer = store_.wait_for_change(config_key(cell_), config_mod_revision_, watch_timeout);
     if (const auto* value = std::get_if<stored_value>(&answer)) {
-        config_mod_ = value->mod_revision;
+        config_mod_revision_ = value->mod_revision;
         on_config_(value->value);
         return;
     }
     if (!std::holds_alternative<store_unavailable>(answer))
         return;
     std::unique_lock lock{mutex_};
-    changed_.wait_for(lock, retry_pause, [this] { return stopping_; });
+    changed_.wait_for(lock, retry_delay, [this] { return is_stopping_; });
 }
 
 } // namespace persimmonstile
--- a/daemon/store_worker.h
+++ b/daemon/store_worker.h
@@ -21,7 +21,7 @@
 // Result of reading the owner table. It is marked as unavailable if the store did not answer or the value
 // could not be decoded.
 struct table_read_result {
-    bool available = false;
+    bool is_available = false;
     std::optional<owner_table> table;
     std::int64_t mod_revision = 0;
 };
@@ -62,9 +62,9 @@
     std::mutex mutex_;
     std::condition_variable changed_;
     std::deque<std::function<void()>> calls_;
-    bool watching_ = false;
-    bool stopping_ = false;
-    std::uint64_t config_mod_ = 0;
+    bool is_watching_ = false;
+    bool is_stopping_ = false;
+    std::uint64_t config_mod_revision_ = 0;
     std::thread call_thread_;
     std::thread watch_thread_;
 };
--- a/tests/early_requests_test.cpp
+++ b/tests/startup_requests_test.cpp
@@ -1,4 +1,4 @@
-#include "daemon/early_requests.h"
+#include "daemon/startup_requests.h"
 
 #include <string>
 
@@ -9,9 +9,9 @@
 
 using namespace std::chrono_literals;
 
-class early_requests_test : public testing::Test {
+class startup_requests_test : public testing::Test {
 protected:
-    early_requests requests_{{300ms, 3}};
+    startup_requests requests_{{300ms, 3}};
     const time_point begin_{100s};
 
     bool hold(const std::string& path, std::uint64_t connection, time_point now) {
@@ -24,7 +24,7 @@
 };
 
 // Requests must be returned in order of arrival, and only once.
-TEST_F(early_requests_test, hands_over_in_order_of_arrival) {
+TEST_F(startup_requests_test, hands_over_in_order_of_arrival) {
     EXPECT_TRUE(hold("/a", 1, begin_));
     EXPECT_TRUE(hold("/b", 2, begin_ + 10ms));
     const auto taken = requests_.take_all();
@@ -36,7 +36,7 @@
 }
 
 // Callers must not wait longer than the limit if no configuration arrives.
-TEST_F(early_requests_test, gives_up_those_that_waited_too_long) {
+TEST_F(startup_requests_test, gives_up_those_that_waited_too_long) {
     hold("/a", 1, begin_);
     hold("/b", 2, begin_ + 200ms);
     EXPECT_TRUE(requests_.take_expired(begin_ + 299ms).empty());
@@ -47,7 +47,7 @@
 }
 
 // Requests of closed connections must be dropped, and the number of held requests must be bounded.
-TEST_F(early_requests_test, forgets_closed_connections_and_is_bounded) {
+TEST_F(startup_requests_test, forgets_closed_connections_and_is_bounded) {
     EXPECT_TRUE(hold("/a", 1, begin_));
     EXPECT_TRUE(hold("/b", 2, begin_));
     EXPECT_TRUE(hold("/c", 1, begin_));
--- a/tests/store_router_test.cpp
+++ b/tests/store_router_test.cpp
@@ -58,7 +58,7 @@
     call();
     answer_direct(store_failure{"refused", false});
     ASSERT_EQ(sent_.size(), 1U);
-    router_.relayed({relayed_token(), item_missing{}});
+    router_.process_relayed_reply({relayed_token(), item_missing{}});
     ASSERT_EQ(replies_.size(), 1U);
     EXPECT_TRUE(std::holds_alternative<item_missing>(replies_[0]));
     call();
@@ -91,7 +91,7 @@
     router_.tick();
     ASSERT_EQ(replies_.size(), 1U);
     EXPECT_TRUE(std::get<store_failure>(replies_[0]).may_have_applied);
-    router_.relayed({relayed_token(), item_missing{}});
+    router_.process_relayed_reply({relayed_token(), item_missing{}});
     EXPECT_EQ(replies_.size(), 1U);
 }
 
@@ -104,7 +104,7 @@
 }
 
 TEST_F(store_router_test, makes_calls_for_peers_and_does_not_pass_them_on) {
-    router_.serve(9, {33, 100, store_read{"key"}});
+    router_.serve_peer(9, {33, 100, store_read{"key"}});
     ASSERT_EQ(direct_.size(), 1U);
     answer_direct(store_failure{"refused", false});
     ASSERT_EQ(sent_.size(), 1U);
