--- a/state/agent_departure.h
+++ b/state/agent_departure.h
@@ -9,8 +9,8 @@
 namespace persimmonstile {
 
 // Agent to entry, the last message before a planned stop: the hashes of all jobs that the agent has on
-// record. The agent accepts nothing more, so a later query about any other job is answered by this list.
-// Without it, jobs that never reached the agent would get an unknown outcome once the agent is gone.
+// record. The agent accepts no more tasks, so any job that is not listed never reached it. Without this
+// list, such a job would get an unknown outcome once the agent is gone.
 struct agent_departure {
     incarnation agent;
     std::vector<std::uint64_t> jobs;
--- a/state/agent_free_capacity.h
+++ b/state/agent_free_capacity.h
@@ -7,13 +7,12 @@
 
 namespace persimmonstile {
 
-// Free capacity of an agent. A run counts as running while the backend server has not answered its start
-// order.
+// Free capacity of an agent. A run whose start order the backend server has not answered counts as running.
 struct agent_free_capacity {
     resources free;
-    // Resources needed by the runs that are queued at the agent.
+    // Total needs of the runs that are queued at the agent.
     resources queued;
-    // Number of start messages from the receiving entry that these figures include.
+    // Number of run_start_request messages from the receiving entry that free and queued include.
     std::uint64_t received_starts = 0;
 
     bool operator==(const agent_free_capacity&) const = default;
--- a/state/agent_load.h
+++ b/state/agent_load.h
@@ -5,7 +5,7 @@
 
 namespace persimmonstile {
 
-// Load of one agent for one service. It is added to messages that are sent for another reason.
+// Slots and tasks of one agent for one service. Sent as part of task_reports, never as a message of its own.
 struct agent_load {
     std::uint32_t slots = 0;
     std::uint32_t running = 0;
--- a/state/agent_profile.h
+++ b/state/agent_profile.h
@@ -10,19 +10,19 @@
 
 namespace persimmonstile {
 
-// Agent to entry, first on each connection and again on every change: identity of the agent and of the
-// backend server beside it.
+// Agent to entry, first on each connection and again on every change: identity and state of the agent and of
+// the backend server beside it.
 struct agent_profile {
     incarnation agent;
     std::string zone;
-    // The agent accepts new runs: the backend server is serving, the agent knows which runs it has, and the
-    // agent is not shutting down.
+    // The agent accepts new runs. It does so while the backend server is serving, the agent knows which runs
+    // the backend server has, and the agent is not shutting down.
     bool accepts_runs = false;
-    // The id is empty while no backend server is known.
+    // backend.id is empty while no backend server is known.
     backend_profile backend;
     agent_free_capacity room;
-    // Runs of this agent fail or make no progress, whatever the backend server reports about itself. Other
-    // agents are preferred.
+    // Runs of this agent fail or make no progress, even if the backend server reports itself healthy. Entries
+    // prefer other agents.
     bool is_suspect = false;
 
     static constexpr auto members() {
--- a/state/agent_record.h
+++ b/state/agent_record.h
@@ -5,7 +5,7 @@
 
 namespace persimmonstile {
 
-// Stored record of an agent that may have runs.
+// Stored record of an agent that may have runs. An entry writes it when an agent without a record connects.
 struct agent_record {
     std::string name;
     std::string zone;
--- a/state/agent_status.h
+++ b/state/agent_status.h
@@ -11,13 +11,13 @@
 namespace persimmonstile {
 
 // Agent to entry, on connecting and on every change: identity of the agent and the services it can run.
-// services is empty while no backend server is announced and while the backend server is leaving.
 struct agent_status {
     incarnation agent;
     std::string zone;
     std::string rack;
     bool draining = false;
     config_revision revision = 0;
+    // Empty while no backend server is announced and while the backend server is leaving.
     std::vector<service_capacity> services;
 
     static constexpr auto members() {
--- a/state/backend_profile.h
+++ b/state/backend_profile.h
@@ -12,7 +12,7 @@
 // What a backend server announces about itself: identity, capacity and labels.
 struct backend_profile {
     std::string id;
-    // Distinguishes lifetimes of a backend server that restarts with the same id. It grows with each start.
+    // Distinguishes the lifetimes of a backend server that restarts with the same id. Grows with each start.
     std::uint64_t life = 0;
     std::string service;
     std::string zone;
@@ -22,7 +22,7 @@
     std::string rack;
     // All labels that a job may require, including kind and rack.
     std::vector<std::string> labels;
-    // The backend server finishes its current runs and accepts no new ones.
+    // The backend server finishes its current runs and accepts no new runs.
     bool draining = false;
 
     bool operator==(const backend_profile&) const = default;
--- a/state/config_push.h
+++ b/state/config_push.h
@@ -7,10 +7,10 @@
 
 namespace persimmonstile {
 
-// Sends the fleet configuration to a process that has an older revision. content is the JSON document from
-// the store.
+// Sends the fleet configuration to a process that has an older revision.
 struct config_push {
     config_revision revision = 0;
+    // The JSON document from the store, unchanged.
     std::string content;
 
     static constexpr auto members() { return std::make_tuple(&config_push::revision, &config_push::content); }
--- a/state/content_request.h
+++ b/state/content_request.h
@@ -5,7 +5,8 @@
 
 namespace persimmonstile {
 
-// Asks a peer for its owner table and configuration if they are newer than the versions given here.
+// Asks a peer for its owner table and its fleet configuration. The peer sends each only if it is newer than
+// the version given here.
 struct content_request {
     std::uint64_t known_version = 0;
     std::uint64_t known_revision = 0;
--- a/state/control_message.h
+++ b/state/control_message.h
@@ -18,7 +18,7 @@
 
 namespace persimmonstile {
 
-// Any message of the control plane: membership, grants, owner table and configuration.
+// Any message of the control plane, which carries membership, grants, the owner table and the configuration.
 using control_message = std::variant<agent_status, entry_hello, grant_request, grant_reply, table_push,
                                      table_ack, content_request, config_push, view_ping, view_pong,
                                      recovery_request, recovery_reply, agent_departure>;
--- a/state/deployment_config.h
+++ b/state/deployment_config.h
@@ -10,7 +10,8 @@
 
 namespace persimmonstile {
 
-// One version of the operators' configuration, and the availability zones that are out of service.
+// One version of the configuration written by the operators, and the availability zones that are out of
+// service.
 struct deployment_config {
     std::uint64_t version = 0;
     std::vector<queue_policy> queues;
--- a/state/dispatch.h
+++ b/state/dispatch.h
@@ -11,8 +11,8 @@
 
 namespace persimmonstile {
 
-// Owner to agent: run these tasks of one job. The agent accepts a task only if it is the target incarnation
-// and knows no newer epoch of the partition.
+// Owner to agent: run these tasks of one job. The agent accepts a task only if its own incarnation is target
+// and it knows no newer epoch of the partition.
 struct dispatch {
     incarnation target;
     partition_id partition = 0;
@@ -21,7 +21,8 @@
     job_id job;
     std::string service;
     std::string traceparent;
-    // Time left until the job's deadline when the message was sent. No task is started after the deadline.
+    // Time until the job's deadline, measured when the message was sent. No task is started after the
+    // deadline.
     std::int64_t remaining_ms = 0;
     std::vector<task_payload> tasks;
     // Method of a single request; empty for a job.
--- a/state/entry_hello.h
+++ b/state/entry_hello.h
@@ -7,7 +7,8 @@
 
 namespace persimmonstile {
 
-// First message of an entry on a connection to another entry, and its reply to an agent's status.
+// Identity and address of an entry: its first message on a connection to another entry, and its reply to an
+// agent_status.
 struct entry_hello {
     incarnation entry;
     std::string address;
--- a/state/entry_record.h
+++ b/state/entry_record.h
@@ -7,8 +7,8 @@
 
 namespace persimmonstile {
 
-// Stored record of an entry under its name: the session that may write, and the address at which other
-// processes reach the entry.
+// Stored record of an entry, under its name: the session that may write to the store, and the address at
+// which other processes reach the entry.
 struct entry_record {
     incarnation session;
     std::string peer_address;
--- a/state/entry_welcome.h
+++ b/state/entry_welcome.h
@@ -11,9 +11,9 @@
 // Entry to agent, first on each connection and again on every change: identity of the entry, addresses of all
 // entries and excluded availability zones.
 struct entry_welcome {
-    // Owner of the runs of jobs that are not durable.
+    // Owner of the runs of best-effort jobs.
     incarnation process;
-    // Owner of the runs of durable jobs. The number is 0 while the entry has no session.
+    // Owner of the runs of durable jobs. session.number is 0 while the entry has no session.
     incarnation session;
     // Peer addresses of all entries, as "ip:port".
     std::vector<std::string> entry_addresses;
--- a/state/fleet_view.h
+++ b/state/fleet_view.h
@@ -10,8 +10,8 @@
 
 namespace persimmonstile {
 
-// One revision of the fleet configuration in the form used by the scheduling code. It does not change after
-// publication. A team or service that is not listed does not exist.
+// One revision of the fleet configuration in the form used by the scheduling code. Immutable once published.
+// A team or service that is not listed does not exist.
 struct fleet_view {
     config_revision revision = 0;
     std::map<std::string, service_policy> services;
--- a/state/grant_reply.h
+++ b/state/grant_reply.h
@@ -10,19 +10,21 @@
 
 namespace persimmonstile {
 
-// Grantor to owner: the reply to grant_request. granted is false while the request's version or revision is
-// older than the grantor's, and while a restarted grantor recovers. version and revision are the grantor's
-// own, so each side learns which is newer. silent_owners lists the entries of the table that sent no request
-// for longer than owner_silence_timeout. recorded lists those of the request's new_agents that the grantor
-// has on record.
+// Grantor to owner: the reply to the grant_request with the same sequence.
 struct grant_reply {
     incarnation grantor;
     std::uint64_t sequence = 0;
+    // False while the request's version or revision is older than the grantor's, and while the grantor is
+    // recovering.
     bool granted = false;
+    // The grantor has restarted and does not know yet what it acknowledged before.
     bool recovering = false;
+    // The grantor's own version and revision, so that each side learns which is newer.
     table_version version = 0;
     config_revision revision = 0;
+    // Entries of the owner table that sent no request for longer than owner_silence_timeout.
     std::vector<incarnation> silent_owners;
+    // Those of the request's new_agents that the grantor has on record.
     std::vector<incarnation> recorded;
 
     static constexpr auto members() {
--- a/state/grant_request.h
+++ b/state/grant_request.h
@@ -9,13 +9,13 @@
 
 namespace persimmonstile {
 
-// Owner to grantor, every grant_renewal_interval: renew the grant. new_agents are the incarnations that this
-// entry asks the grantor to record.
+// Owner to grantor, every grant_renewal_interval: renew the grant.
 struct grant_request {
     incarnation owner;
     table_version version = 0;
     config_revision revision = 0;
     std::uint64_t sequence = 0;
+    // Agent incarnations that the grantor is asked to record.
     std::vector<incarnation> new_agents;
 
     static constexpr auto members() {
--- a/state/ids.h
+++ b/state/ids.h
@@ -8,17 +8,17 @@
 // Idempotency key of the caller, 1 to max_job_id_length characters of [A-Za-z0-9._-].
 using job_id = std::string;
 
-// Index of a task within its job, from 0.
+// Index of a task within its job, or within its step if the job has steps; from 0.
 using task_index = std::uint32_t;
 
-// Partition of the job id space. Each partition has one owner.
+// Number of a partition of the job id space. Each partition has one owner.
 using partition_id = std::uint16_t;
 
 // Fencing epoch of a partition. It increases by one whenever the partition changes its owner.
 using epoch_number = std::uint64_t;
 
-// Version of the owner table and revision of the fleet configuration, in the order of the store. 0 means that
-// none is known yet.
+// Version of the owner table and revision of the fleet configuration. Both increase with each change in the
+// store. 0 means that none is known yet.
 using table_version = std::uint64_t;
 using config_revision = std::uint64_t;
 
@@ -28,14 +28,14 @@
 constexpr partition_id partition_count = 64;
 constexpr std::size_t max_job_id_length = 128;
 
-// Maps a job id to its partition. Every process must compute the same value, so the hash function is fixed to
+// Maps a job id to its partition. Every process must compute the same value, so the hash function is always
 // XXH3.
 partition_id partition_of(const job_id& job);
 
-// Hash of a job id, used in messages where a list of full ids would be too long.
+// XXH3 hash of a job id. Messages contain it where a list of full ids would be too long.
 std::uint64_t hash_job_id(const job_id& job);
 
-// Whether the text has an allowed length and only allowed characters.
+// Whether the text has the length and the characters of a job_id.
 bool is_valid_job_id(const std::string& text);
 
 } // namespace persimmonstile
--- a/state/incarnation.h
+++ b/state/incarnation.h
@@ -7,8 +7,8 @@
 
 namespace persimmonstile {
 
-// One process lifetime. A restarted process keeps its name and gets a new number, so messages for an earlier
-// lifetime can be recognized. Numbers are unique; their order has no meaning.
+// Identifies one lifetime of a process. A restarted process keeps its name and gets a new number, so messages
+// for an earlier lifetime can be recognized. Numbers are unique; their order has no meaning.
 struct incarnation {
     std::string name;
     std::uint64_t number = 0;
--- a/state/job_lookup_reply.h
+++ b/state/job_lookup_reply.h
@@ -7,10 +7,10 @@
 
 namespace persimmonstile {
 
-// The reply to the job_lookup_request with the same token.
+// Reply to the job_lookup_request with the same token.
 struct job_lookup_reply {
     std::uint64_t token = 0;
-    // The replying entry owns the job or knows that it has ended. If false, state has no meaning.
+    // The replying entry owns the job or knows that the job has ended. Otherwise state has no meaning.
     bool is_known = false;
     job_state state = job_state::unknown;
 
--- a/state/job_lookup_request.h
+++ b/state/job_lookup_request.h
@@ -7,7 +7,7 @@
 
 namespace persimmonstile {
 
-// Entry to the owner of a job: report the job's state, or cancel the job.
+// Entry to owner: report the state of a job, or cancel the job.
 struct job_lookup_request {
     std::uint64_t token = 0;
     job_id job;
--- a/state/job_outcome.h
+++ b/state/job_outcome.h
@@ -18,13 +18,13 @@
     static constexpr auto members() { return std::make_tuple(&job_complete::answers); }
 };
 
-// A job that ended without the results of all its tasks. retry_after_ms is set on not_run refusals that may
-// succeed later. is_at_capacity distinguishes a refusal because of load or quota (HTTP 429) from an
-// unavailable service (503).
+// A job that ended without the results of all its tasks.
 struct job_failed {
     failure_reason reason = failure_reason::outcome_unknown;
     std::string detail;
+    // Set if the reason is not_run and a later submission may succeed.
     std::int64_t retry_after_ms = 0;
+    // The job was refused because of load or quota (HTTP 429), not because the service is unavailable (503).
     bool is_at_capacity = false;
 
     std::chrono::milliseconds retry_after() const { return std::chrono::milliseconds{retry_after_ms}; }
--- a/state/job_plan.h
+++ b/state/job_plan.h
@@ -9,17 +9,18 @@
 
 namespace persimmonstile {
 
-// The work that a caller submits: the payload passed to every task, and the steps.
+// The work that a caller submits: the steps, and the payload that is passed to every task.
 struct job_plan {
     std::string payload;
     std::vector<job_step> steps;
-    // The steps run this many times, occurrence k not before first_start + k * interval (calendar time in
-    // milliseconds since 1970). 0 for a job that runs once and immediately.
+    // Number of occurrences of a repeated job; 0 for a job that runs once and immediately. Occurrence k, from
+    // 0, runs all steps and starts no earlier than first_start_ms + k * interval_ms. first_start_ms is
+    // calendar time in milliseconds since 1970.
     std::uint32_t repeat_count = 0;
     std::int64_t first_start_ms = 0;
     std::int64_t interval_ms = 0;
-    // Durable job: its acceptance is reported to the caller only after the job is in the store. Any other job
-    // lives only as long as its caller's request, and is lost with the entry that runs it.
+    // The acceptance of a durable job is reported to the caller only after the job is in the store. A
+    // best-effort job lasts only as long as its caller's request, and is lost with the entry that owns it.
     bool is_durable = true;
 
     std::uint32_t occurrence_count() const { return repeat_count == 0 ? 1 : repeat_count; }
--- a/state/job_report.h
+++ b/state/job_report.h
@@ -9,8 +9,8 @@
 
 namespace persimmonstile {
 
-// Agent to new owner, in reply to query_job: every task of the job that this incarnation started, and those
-// it accepted and gave up. An empty list means that the job never reached the agent.
+// Agent to new owner, in reply to query_job: every task of the job that this incarnation started, or accepted
+// and then gave up. If reports is empty, the job never reached the agent.
 struct job_report {
     incarnation agent;
     partition_id partition = 0;
--- a/state/job_result.h
+++ b/state/job_result.h
@@ -7,7 +7,7 @@
 
 namespace persimmonstile {
 
-// Owner to forwarding entry: the reply to the forward_job or forward_lookup with the same token.
+// Owner to forwarding entry: reply to the forward_job or forward_lookup with the same token.
 struct job_result {
     caller_token token = 0;
     job_id job;
--- a/state/job_spec.h
+++ b/state/job_spec.h
@@ -8,15 +8,15 @@
 
 namespace persimmonstile {
 
-// A job or single request as submitted, after syntax checks. Tasks and answers stay JSON text; only the entry
-// that serves the caller and the backend server parse it.
+// A job or single request as submitted, after syntax checks. Tasks and answers stay JSON text, which is
+// parsed only by the entry that serves the caller and by the backend server.
 struct job_spec {
     std::string service;
     std::string team;
     // Method of a single request; empty for a job.
     std::string method;
     std::vector<std::string> tasks;
-    // Time allowed from the acceptance to the end; 0 for the service's default.
+    // Maximum time from the acceptance to the end; 0 for the default of the service.
     std::int64_t deadline_ms = 0;
     // SHA-256 of the canonical body in hexadecimal. Distinguishes a resubmission from another job with the
     // same id.
--- a/state/job_state.h
+++ b/state/job_state.h
@@ -10,7 +10,7 @@
 //   queued    accepted, no task has started
 //   running   a task has started
 //   completed every task has succeeded
-//   failed    a task has failed as many times as its queue allows
+//   failed    a task has failed as often as its queue allows
 //   cancelled a caller has cancelled the job
 enum class job_state : std::uint8_t { unknown, queued, running, completed, failed, cancelled };
 
--- a/state/job_status.h
+++ b/state/job_status.h
@@ -8,13 +8,13 @@
 
 namespace persimmonstile {
 
-// Stored record of a job under its id; any entry can look it up. The state of an open job is stored as
-// queued, even when its owner knows more.
+// Stored record of a job, under its id. Any entry can look it up. While the job is open, the stored state is
+// queued, even if tasks are running already; only the owner knows more.
 struct job_status {
     job_state state = job_state::queued;
     // Session that accepted the job.
     incarnation owner;
-    // Calendar time of the end, in milliseconds since 1970.
+    // Calendar time at which the job ended, in milliseconds since 1970.
     std::int64_t ended_ms = 0;
 
     static constexpr auto members() {
--- a/state/job_step.h
+++ b/state/job_step.h
@@ -22,13 +22,13 @@
     std::string required_label;
     // Rack that holds the data; tasks take longer on other racks. Empty for none.
     std::string data_rack;
-    // Maximum number of tasks of this step on one backend server; 0 for no limit.
+    // Maximum number of tasks of this step that one backend server runs; 0 for no limit.
     std::uint32_t max_per_backend = 0;
-    // Tasks write checkpoints, from which a later run resumes.
+    // Tasks write checkpoints, from which a later run of the same task resumes.
     bool has_checkpoints = false;
-    // All tasks start together and end together.
+    // All tasks of the step start together and end together.
     bool is_gang = false;
-    // Tasks take longer when they are spread over several racks.
+    // Tasks take longer if they are spread over several racks.
     bool prefers_one_rack = false;
     // Copies of a task may run in parallel; the first one that finishes counts.
     bool allows_copies = false;
--- a/state/open_job.h
+++ b/state/open_job.h
@@ -10,13 +10,13 @@
 
 namespace persimmonstile {
 
-// Stored record of a job that has not ended. It holds everything that a successor of its owner needs.
+// Stored record of a job that has not ended. It holds everything that a successor of the job's owner needs.
 struct open_job {
     std::string queue;
     std::string service;
     // Number of failed runs of one task after which the job fails.
     std::uint32_t max_attempts = 1;
-    // Calendar time of the acceptance, in milliseconds since 1970.
+    // Calendar time at which the job was accepted, in milliseconds since 1970.
     std::int64_t accepted_ms = 0;
     job_plan plan;
     std::vector<task_progress> progress;
--- a/state/owner_pong.h
+++ b/state/owner_pong.h
@@ -5,12 +5,13 @@
 
 namespace persimmonstile {
 
-// Entry to agent, in reply to view_ping or with run_start_request: the entry was alive at sent_ns on the
-// agent's clock. Time is counted from the agent's sending time, so network delays only shorten leases and
-// never extend them. 0 carries no information.
+// Entry to agent, in reply to view_ping or as part of run_start_request: the entry was alive at or after
+// sent_ns, a reading of the agent's own clock. Leases count from that reading, so network delays shorten them
+// and never extend them.
 struct owner_pong {
+    // 0 if the entry has received no clock reading from the agent.
     std::int64_t sent_ns = 0;
-    // The session is not known to be deposed, and the entry had contact with the store recently.
+    // The entry's session is not known to be deposed, and the entry had contact with the store recently.
     bool is_session_certain = false;
 
     static constexpr auto members() {
--- a/state/owner_succession.h
+++ b/state/owner_succession.h
@@ -6,8 +6,8 @@
 
 namespace persimmonstile {
 
-// Successor to agent: the former owner is deposed. From now on the agent refuses the former owner's orders
-// and reports its runs to the successor.
+// Successor to agent: the former owner is deposed. From now on the agent refuses requests of the former owner
+// and reports that owner's runs to the successor.
 struct owner_succession {
     incarnation former;
     incarnation successor;
--- a/state/owner_table.h
+++ b/state/owner_table.h
@@ -11,13 +11,15 @@
 namespace persimmonstile {
 
 // The owner of each partition. The table is kept in the store; processes hold copies and replace them only
-// with newer versions. partitions has partition_count elements unless version is 0. grantors are names of
-// agents. writer and operation_id let a writer that got no reply recognize its own write.
+// with newer versions.
 struct owner_table {
     table_version version = 0;
+    // Has partition_count elements, unless version is 0.
     std::vector<partition_owner> partitions;
     std::vector<entry_address> entries;
+    // Names of the agents that act as grantors.
     std::vector<std::string> grantors;
+    // A writer that got no reply recognizes its own write by these two.
     std::string writer;
     std::string operation_id;
 
--- a/state/partition_handover.h
+++ b/state/partition_handover.h
@@ -8,17 +8,16 @@
 
 namespace persimmonstile {
 
-// Former owner to its direct successor, when it learns that it lost the partition: the hashes of all jobs of
-// the partition that it knows, and the time since which it knows every new job. The successor then treats an
-// id as new if the former owner would have done so, and need not query agents about it. A former owner that
-// crashed sends no handover.
+// Former owner to its direct successor, when the former owner learns that it lost the partition: the hashes
+// of all jobs of the partition that it knows. The successor then treats an id as new if the former owner
+// would have done so, and need not query agents about it. A former owner that crashed sends no handover.
 struct partition_handover {
     partition_id partition = 0;
     // Epoch that the former owner held.
     epoch_number epoch = 0;
-    // There was no owner before the former one.
+    // jobs is complete since the first epoch of the partition, so known_since_ns does not matter.
     bool is_first_epoch = false;
-    // Calendar time in nanoseconds since which the former owner knows every new job.
+    // Calendar time in nanoseconds since 1970. The former owner knows every job submitted after it.
     std::int64_t known_since_ns = 0;
     std::vector<std::uint64_t> jobs;
 
--- a/state/partition_owner.h
+++ b/state/partition_owner.h
@@ -7,7 +7,7 @@
 
 namespace persimmonstile {
 
-// Owner of one partition and the fencing epoch of this ownership.
+// Owner of one partition and the fencing epoch that began with its ownership.
 struct partition_owner {
     incarnation owner;
     epoch_number epoch = 0;
--- a/state/peer_hello.h
+++ b/state/peer_hello.h
@@ -7,10 +7,11 @@
 
 namespace persimmonstile {
 
-// Entry to entry, first on each connection and again whenever the session changes: identity of the sender.
+// Entry to entry, first on each connection and again whenever the sender's session changes: identity of the
+// sender.
 struct peer_hello {
     std::string name;
-    // The number is 0 while the entry has no session.
+    // session.number is 0 while the entry has no session.
     incarnation session;
 
     static constexpr auto members() { return std::make_tuple(&peer_hello::name, &peer_hello::session); }
--- a/state/query_job.h
+++ b/state/query_job.h
@@ -6,8 +6,8 @@
 
 namespace persimmonstile {
 
-// New owner to agent: report the tasks of this job that are known. By replying, the agent refuses every older
-// epoch of the partition and gives up the tasks of the job that it has not started.
+// New owner to agent: report the tasks of this job. Before it replies, the agent gives up the tasks of the
+// job that it has not started. From then on it refuses every older epoch of the partition.
 struct query_job {
     partition_id partition = 0;
     epoch_number epoch = 0;
--- a/state/queue_count.h
+++ b/state/queue_count.h
@@ -6,7 +6,7 @@
 
 namespace persimmonstile {
 
-// Number of jobs of one queue at one entry that are accepted and have not begun.
+// Number of jobs of one queue that one entry has accepted and of which no task has started.
 struct queue_count {
     std::string queue;
     std::uint64_t pending = 0;
--- a/state/queue_counts.h
+++ b/state/queue_counts.h
@@ -8,11 +8,12 @@
 
 namespace persimmonstile {
 
-// Entry to entry: the sender's counts for all queues, and the revision of its configuration. A queue that is
-// not listed has the count 0.
+// Entry to entry: the sender's number of pending jobs in each queue, and the revision of its configuration. A
+// queue that is not listed has no pending jobs.
 struct queue_counts {
     std::vector<queue_count> counts;
-    // Store revision of the latest change to the operators' records that the entry knows.
+    // Store revision of the latest change to the operators' records that the sender knows. These records are
+    // the configuration and the availability zones that are out of service.
     std::uint64_t config_revision = 0;
 
     static constexpr auto members() {
--- a/state/queue_policy.h
+++ b/state/queue_policy.h
@@ -9,8 +9,8 @@
 // Scheduling settings of one queue, and the host and path that select it.
 struct queue_policy {
     std::string name;
-    // Requests to this host whose path starts with path_prefix go to this queue. The longest matching prefix
-    // is used.
+    // Requests to this host whose path starts with path_prefix go to this queue. If several prefixes match,
+    // the longest is used.
     std::string host;
     std::string path_prefix;
     std::string service;
@@ -18,7 +18,7 @@
     std::uint32_t max_attempts = 1;
     // 0 is the highest priority.
     std::uint32_t priority = 0;
-    // A job is in time if it takes no longer than stretch times its critical path, plus slack.
+    // A job meets its target if it takes no longer than stretch times its critical path, plus slack.
     double stretch = 1;
     std::chrono::milliseconds slack{0};
 };
--- a/state/recovery_reply.h
+++ b/state/recovery_reply.h
@@ -9,8 +9,8 @@
 
 namespace persimmonstile {
 
-// One grantor's reply to recovery_request, passed on by the entry. A grantor that is itself recovering does
-// not reply.
+// Grantor to restarted grantor, passed on by an entry: the owner table and the agent incarnations that the
+// sender has acknowledged. A grantor that is itself recovering does not reply.
 struct recovery_reply {
     incarnation requester;
     std::uint64_t nonce = 0;
--- a/state/recovery_request.h
+++ b/state/recovery_request.h
@@ -7,8 +7,8 @@
 
 namespace persimmonstile {
 
-// A restarted grantor asks the other grantors, through an entry, what they acknowledged. The nonce ties the
-// replies to this request, so an entry cannot reply with an old copy.
+// Restarted grantor to the other grantors, passed on by an entry: report what you have acknowledged. The
+// nonce ties the replies to this request, so an entry cannot answer with a copy of an earlier reply.
 struct recovery_request {
     incarnation requester;
     std::uint64_t nonce = 0;
--- a/state/refusal.h
+++ b/state/refusal.h
@@ -5,8 +5,8 @@
 
 namespace persimmonstile {
 
-// Why an agent did not start a task. Reported with task_status::not_started; the dispatch counts as a wasted
-// message.
+// Why an agent did not start a task. Reported with task_status::not_started. The refused dispatch counts as a
+// wasted message.
 enum class refusal : std::uint8_t {
     none,
     stale_epoch,
--- a/state/relayed_store_call.h
+++ b/state/relayed_store_call.h
@@ -8,10 +8,10 @@
 
 namespace persimmonstile {
 
-// Asks a peer to make a store call for a process that cannot reach the store.
+// Asks a peer to make a store call on behalf of the sender, which cannot reach the store.
 struct relayed_store_call {
     std::uint64_t token = 0;
-    // Time for which the peer waits for the store.
+    // Time for which the peer waits for the store's reply.
     std::int64_t timeout_ms = 0;
     store_call call;
 
--- a/state/relayed_store_reply.h
+++ b/state/relayed_store_reply.h
@@ -7,7 +7,7 @@
 
 namespace persimmonstile {
 
-// The reply to the relayed_store_call with the same token.
+// Reply to the relayed_store_call with the same token.
 struct relayed_store_reply {
     std::uint64_t token = 0;
     store_reply reply;
--- a/state/resources.h
+++ b/state/resources.h
@@ -5,7 +5,8 @@
 
 namespace persimmonstile {
 
-// Amounts of resources that a task needs or a backend server has. Differences may be negative.
+// Amounts of the resources that a task needs or a backend server has. A difference of two amounts may be
+// negative.
 struct resources {
     // Thousandths of a processor core.
     std::int64_t cpu_millicores = 0;
--- a/state/revoke.h
+++ b/state/revoke.h
@@ -8,8 +8,8 @@
 
 namespace persimmonstile {
 
-// Owner to agent: do not start these tasks. The agent reports each task as not_started or with its current
-// state. It refuses a dispatch of the listed attempts that arrives after this message.
+// Owner to agent: do not start these tasks. The agent reports each task, either as not_started or with its
+// current state. If a dispatch of a listed attempt arrives after this message, the agent refuses it.
 struct revoke {
     partition_id partition = 0;
     epoch_number epoch = 0;
--- a/state/run_claim.h
+++ b/state/run_claim.h
@@ -9,7 +9,7 @@
 
 namespace persimmonstile {
 
-// A run and the resources that it uses on the backend server.
+// A run and the resources that it needs.
 struct claimed_run {
     run_ref run;
     resources needs;
@@ -17,7 +17,7 @@
     static constexpr auto members() { return std::make_tuple(&claimed_run::run, &claimed_run::needs); }
 };
 
-// Owner to agent: the owner claims these runs, which a restarted agent found at its backend server.
+// Owner to agent: these runs, which the restarted agent found on its backend server, belong to this owner.
 struct run_claim {
     incarnation owner;
     bool is_durable = true;
--- a/state/run_inventory.h
+++ b/state/run_inventory.h
@@ -9,14 +9,14 @@
 
 namespace persimmonstile {
 
-// Agent to entry: all runs of one owner that the agent knows. A run that was ordered in one of the start
-// messages counted here and is not listed has not started and never will.
+// Agent to entry: all runs of one owner that the agent knows. received_starts tells which start messages the
+// list covers. If one of them ordered a run that is not listed, the run has not started and never will.
 struct run_inventory {
-    // Session or process of the owner, or the session of a deposed owner that the entry succeeded. The name
+    // Session or process of the entry, or the session of a deposed owner that the entry succeeded. The name
     // is empty for runs whose owner the agent does not know.
     incarnation owner;
     std::vector<run_report> reports;
-    // Number of start messages that the agent received from the entry on this connection before it sent the
+    // Number of run_start_request messages that the agent received on this connection before it sent the
     // inventory.
     std::uint64_t received_starts = 0;
 
--- a/state/run_ref.h
+++ b/state/run_ref.h
@@ -8,7 +8,7 @@
 
 namespace persimmonstile {
 
-// Number of a run of one task, from 1. A later run has a higher number; numbers may be skipped.
+// Number of a run of one task, from 1. Later runs have higher numbers; numbers may be skipped.
 using run_number = std::uint64_t;
 
 // Identifies one run of one task.
--- a/state/run_refusal.h
+++ b/state/run_refusal.h
@@ -6,6 +6,18 @@
 namespace persimmonstile {
 
 // Why an agent refused a run or ended it.
+//   none: the agent neither refused nor ended the run
+//   owner_deposed: another session has succeeded the owner
+//   owner_silent: no contact with the owner for too long, or no caller waits for the job any longer
+//   no_backend: the backend server is unknown or unreachable, or has lost the run
+//   draining: the agent or the backend server is shutting down
+//   zone_out: the availability zone is out of service
+//   no_room: not enough free capacity within the queue timeout, or according to the backend server
+//   old_run: this run, or a later run of the task, was stopped or has ended on the backend server
+//   unhealthy_backend: the backend server refused the run for now
+//   invalid_order: the backend server could not interpret the start order
+//   stalled: the run made no progress
+//   withdrawn: the owner requested the stop
 enum class run_refusal : std::uint8_t {
     none,
     owner_deposed,
--- a/state/run_reports.h
+++ b/state/run_reports.h
@@ -9,13 +9,13 @@
 
 namespace persimmonstile {
 
-// Agent to entry: changes of runs, and the agent's free capacity after them. Without reports the message only
-// updates the free capacity.
+// Agent to entry: changed runs, and the agent's free capacity after these changes. If reports is empty, the
+// message only updates the free capacity.
 struct run_reports {
     std::vector<run_report> reports;
     agent_free_capacity room;
-    // The agent's clock when it sent the message, as in view_ping. The entry returns it in its next
-    // run_start_request.
+    // Reading of the agent's clock when it sent the message, as in view_ping. The entry returns it in its
+    // next run_start_request.
     std::int64_t sent_ns = 0;
 
     static constexpr auto members() {
--- a/state/run_start_request.h
+++ b/state/run_start_request.h
@@ -19,9 +19,9 @@
     std::string payload;
     std::vector<run_spec> runs;
     bool is_durable = true;
-    // Time left until no caller waits for the job. Its runs are then ended. 0 for no limit.
+    // Time after which no caller waits for the job any longer, so that its runs are ended; 0 for no limit.
     std::int64_t remaining_ms = 0;
-    // Reply to the latest clock reading that the entry received from the agent.
+    // Returns the latest clock reading that the entry received from the agent.
     owner_pong pong;
 
     std::chrono::milliseconds remaining() const { return std::chrono::milliseconds{remaining_ms}; }
--- a/state/run_state.h
+++ b/state/run_state.h
@@ -6,16 +6,16 @@
 namespace persimmonstile {
 
 // State of one run, as known to its agent.
-//   queued     accepted, waits at the agent for free capacity
-//   starting   start order sent to the backend server, not yet confirmed
-//   running    confirmed by the backend server
-//   done       ended successfully
-//   failed     ended through its own fault or the backend server's
-//   stopped    ended by a stop order
-//   lapsed     ended because its lease expired, or lost with the backend server
-//   broken     ended because another task of its gang ended
-//   alone      ended because the other tasks of its gang did not start
-//   refused    not started, and never will be under this run number
+//   queued: accepted, waits at the agent for free capacity
+//   starting: start order sent to the backend server, not yet confirmed
+//   running: confirmed by the backend server
+//   done: ended successfully
+//   failed: ended through its own fault or the backend server's
+//   stopped: ended by a stop order
+//   lapsed: ended because its lease expired, or lost with the backend server
+//   broken: ended because another task of its gang ended
+//   alone: ended because other tasks of its gang did not start
+//   refused: not started, and never will be under this run number
 enum class run_state : std::uint8_t {
     queued,
     starting,
--- a/state/run_stop_request.h
+++ b/state/run_stop_request.h
@@ -8,7 +8,7 @@
 
 namespace persimmonstile {
 
-// Owner to agent: end these runs, or do not start them.
+// Owner to agent: end these runs, and do not start those that have not started yet.
 struct run_stop_request {
     incarnation owner;
     std::vector<run_ref> runs;
--- a/state/session_adoption.h
+++ b/state/session_adoption.h
@@ -7,11 +7,12 @@
 
 namespace persimmonstile {
 
-// Stored record of a session takeover: the jobs of the deposed session now belong to its successor.
+// Stored record of a session takeover: the jobs of the deposed session now belong to the successor.
 struct session_adoption {
     incarnation former;
     incarnation successor;
-    // Number of successions since the jobs were accepted. A later owner uses higher run numbers.
+    // Number of times that the jobs have changed their owner since they were accepted. Each owner counts its
+    // runs from a base that grows with this number, so later owners use higher run numbers.
     std::uint32_t succession_count = 1;
 
     static constexpr auto members() {
--- a/state/store_call.h
+++ b/state/store_call.h
@@ -12,7 +12,7 @@
 
 namespace persimmonstile {
 
-// Transaction: all changes take effect if every condition holds, otherwise none does.
+// Changes keys in one transaction. If every condition holds, all changes take effect; otherwise none does.
 struct store_write {
     std::vector<store_condition> conditions;
     std::vector<store_put> puts;
@@ -30,7 +30,8 @@
     static constexpr auto members() { return std::make_tuple(&store_read::key); }
 };
 
-// Lists one page of the keys that begin with prefix, in order. The page starts after the key after_key.
+// Lists one page of the keys that begin with prefix, in ascending order. The page starts with the first key
+// after after_key.
 struct store_list {
     std::string prefix;
     std::string after_key;
@@ -38,7 +39,7 @@
     static constexpr auto members() { return std::make_tuple(&store_list::prefix, &store_list::after_key); }
 };
 
-// Waits for a change after the given revision to a key that begins with prefix.
+// Waits up to wait_ms for changes, later than after_revision, to keys that begin with prefix.
 struct store_watch {
     std::string prefix;
     std::uint64_t after_revision = 0;
@@ -67,15 +68,15 @@
     static constexpr auto members() { return std::make_tuple(&lease_renew::lease); }
 };
 
-// Ends a lease. The store removes the keys that were set with it.
+// Ends a lease. The store then removes the keys that were set with the lease.
 struct lease_close {
     std::uint64_t lease = 0;
 
     static constexpr auto members() { return std::make_tuple(&lease_close::lease); }
 };
 
-// A call to the store, as data. The decision logic returns it, and any process that reaches the store can
-// make it.
+// A call to the store, as data. The decision logic returns it as an output, and any process that can reach
+// the store may execute it.
 using store_call =
     std::variant<store_write, store_read, store_list, store_watch, lease_open, lease_renew, lease_close>;
 
--- a/state/store_condition.h
+++ b/state/store_condition.h
@@ -6,7 +6,8 @@
 
 namespace persimmonstile {
 
-// Condition of a write: the key must have this revision. 0 means that the key must not exist.
+// Condition of a store_write: the latest change of the key has this revision. 0 means that the key must not
+// exist.
 struct store_condition {
     std::string key;
     std::uint64_t revision = 0;
--- a/state/store_item.h
+++ b/state/store_item.h
@@ -8,11 +8,11 @@
 
 namespace persimmonstile {
 
-// A key of the store with its value. revision is the one of the latest change; 0 means that the key does not
-// exist.
+// A key of the store with its value.
 struct store_item {
     std::string key;
     stored_record value;
+    // Store revision of the latest change of the key; 0 if the key does not exist.
     std::uint64_t revision = 0;
 
     static constexpr auto members() {
--- a/state/store_put.h
+++ b/state/store_put.h
@@ -8,7 +8,7 @@
 
 namespace persimmonstile {
 
-// Sets a key. If a lease is given, the store removes the key when the lease ends.
+// Sets the value of a key. If a lease is given, the store removes the key when the lease ends.
 struct store_put {
     std::string key;
     stored_record value;
--- a/state/store_reply.h
+++ b/state/store_reply.h
@@ -17,8 +17,8 @@
     static constexpr auto members() { return std::make_tuple(&write_applied::revision); }
 };
 
-// A condition did not hold and nothing was written. items holds the current state of the keys of all
-// conditions.
+// A condition did not hold, so nothing was written. items holds the current state of every key that has a
+// condition.
 struct write_conflict {
     std::vector<store_item> items;
 
@@ -37,7 +37,7 @@
     static constexpr auto members() { return std::make_tuple(); }
 };
 
-// One page of a listing. The pages together are not a snapshot: changes after revision may be missing.
+// One page of a listing. The pages together are not a snapshot: changes made after revision may be missing.
 struct item_listing {
     std::vector<store_item> items;
     bool has_more = false;
@@ -48,7 +48,8 @@
     }
 };
 
-// Changes in the order in which they were made. A deletion is an item without value and with revision 0.
+// Changes to watched keys, in the order in which they were made. A deleted key is an item without a value and
+// with revision 0.
 struct item_changes {
     std::vector<store_item> items;
     std::uint64_t revision = 0;
@@ -56,7 +57,7 @@
     static constexpr auto members() { return std::make_tuple(&item_changes::items, &item_changes::revision); }
 };
 
-// The store no longer has the changes after the revision that the watch gave.
+// The store no longer has all changes after the revision that the watch gave.
 struct history_lost {
     static constexpr auto members() { return std::make_tuple(); }
 };
@@ -71,7 +72,7 @@
     }
 };
 
-// The lease to be renewed, or the lease that a write used, has ended.
+// The lease that was to be renewed, or that a write used, has ended.
 struct lease_missing {
     static constexpr auto members() { return std::make_tuple(); }
 };
@@ -79,7 +80,7 @@
 // The call failed or got no usable reply.
 struct store_failure {
     std::string detail;
-    // The call may have been carried out already, or may still be carried out later.
+    // The store may have executed the call, or may still execute it.
     bool may_have_applied = false;
 
     static constexpr auto members() {
@@ -87,7 +88,7 @@
     }
 };
 
-// The reply to a store_call.
+// Reply to a store_call.
 using store_reply = std::variant<store_failure, write_applied, write_conflict, item_found, item_missing,
                                  item_listing, item_changes, history_lost, lease_valid, lease_missing>;
 
--- a/state/table_ack.h
+++ b/state/table_ack.h
@@ -8,12 +8,14 @@
 
 namespace persimmonstile {
 
-// Grantor to entry: the latest table version that the grantor acknowledges, and every agent incarnation that
-// it has on record. From then on the grantor refuses grants under older versions.
+// Grantor to entry: the latest version of the owner table that the grantor has acknowledged. From then on the
+// grantor refuses grants under older versions.
 struct table_ack {
     incarnation grantor;
     table_version version = 0;
+    // The grantor has restarted and does not know yet what it acknowledged before.
     bool recovering = false;
+    // Every agent incarnation that the grantor has on record.
     std::vector<incarnation> recorded;
 
     static constexpr auto members() {
--- a/state/task_message.h
+++ b/state/task_message.h
@@ -14,8 +14,8 @@
 
 namespace persimmonstile {
 
-// Any message of the task plane. The index of an alternative is its code on the wire, so new alternatives are
-// added at the end.
+// Any message of the task plane, which carries jobs, tasks and their results. The index of an alternative is
+// its code on the wire, so new alternatives are added at the end.
 using task_message = std::variant<dispatch, revoke, query_job, task_reports, job_report, forward_job,
                                   forward_lookup, job_result, partition_handover>;
 
--- a/state/task_payload.h
+++ b/state/task_payload.h
@@ -11,9 +11,9 @@
 // One task of a dispatch. body is the JSON text that the backend server receives.
 struct task_payload {
     task_index index = 0;
-    // Number of this dispatch of the task within one epoch. An agent that refused an attempt accepts only a
-    // later one, so a delayed copy of the refused dispatch cannot start the task after it was sent to another
-    // agent.
+    // Number of this dispatch of the task within one epoch. An agent that has refused an attempt accepts only
+    // a later one. Otherwise a delayed copy of the refused dispatch could start the task after the task was
+    // sent to another agent.
     std::uint32_t attempt = 0;
     std::string body;
 
--- a/state/task_progress.h
+++ b/state/task_progress.h
@@ -8,14 +8,14 @@
 
 namespace persimmonstile {
 
-// Progress of one task of an open job that must survive the job's owner. Tasks without progress are not
-// stored.
+// Stored progress of one task of an open job, for a successor of the job's owner. Tasks without progress are
+// not stored.
 struct task_progress {
     std::uint32_t occurrence = 0;
     std::uint32_t step = 0;
     task_index index = 0;
     bool is_done = false;
-    // Number of runs that failed, through their own fault or that of the backend server.
+    // Number of failed runs, through their own fault or the backend server's.
     std::uint32_t failures = 0;
     std::string checkpoint;
 
--- a/state/task_ref.h
+++ b/state/task_ref.h
@@ -11,7 +11,7 @@
 // Identifies one task of a job.
 struct task_ref {
     job_id job;
-    // Occurrence of a repeated job, from 0.
+    // Index of the occurrence of a repeated job, from 0.
     std::uint32_t occurrence = 0;
     std::uint32_t step = 0;
     task_index index = 0;
--- a/state/task_report.h
+++ b/state/task_report.h
@@ -14,13 +14,13 @@
 // Result or state of one task on one agent.
 struct task_report {
     task_index index = 0;
-    // The attempt that the report refers to. The owner ignores reports about earlier attempts.
+    // The attempt that the report is about. The owner ignores reports about earlier attempts.
     std::uint32_t attempt = 0;
     task_status status = task_status::unknown;
     refusal reason = refusal::none;
     // JSON text of the answer if the task succeeded, otherwise a description of the error.
     std::string text;
-    // Time from the acceptance by the agent to the start, and from the start to the end.
+    // Time from the acceptance by the agent to the start of the task, and from the start to the end.
     std::int64_t queue_us = 0;
     std::int64_t run_us = 0;
 
--- a/state/task_status.h
+++ b/state/task_status.h
@@ -10,7 +10,7 @@
 //   failed       the backend server ran the task and reported an error
 //   not_started  the task did not start on this agent and never will; it may run elsewhere
 //   unknown      the task may have started, and its result is lost
-//   running      started, not ended (only in replies to query_job)
+//   running      started and not ended (only in replies to query_job)
 enum class task_status : std::uint8_t { succeeded, failed, not_started, unknown, running };
 
 constexpr std::string_view to_string(task_status status) {
--- a/state/team_policy.h
+++ b/state/team_policy.h
@@ -5,12 +5,12 @@
 
 namespace persimmonstile {
 
-// Effective settings of one team, after defaults and exceptions are applied.
+// Effective settings of one team, with defaults and exceptions applied.
 struct team_policy {
     std::string name;
-    // Relative share of the capacity when teams compete for it.
+    // Weight of the team when teams compete for capacity.
     std::uint32_t share = 1;
-    // Maximum number of running tasks of the team in the whole cell; 0 means no limit.
+    // Maximum number of running tasks of the team in the whole cell; 0 for no limit.
     std::uint32_t max_running = 0;
 };
 
--- a/state/time.h
+++ b/state/time.h
@@ -5,9 +5,9 @@
 
 namespace persimmonstile {
 
-// Clock type for time points of a clock that never jumps and keeps counting while the machine is suspended
-// (CLOCK_BOOTTIME on Linux). With a clock that stops during suspension, a resumed process would believe that
-// its grants are still valid. Values come from clock_source, so the type has no now().
+// Clock type of a monotonic clock that keeps counting while the machine is suspended (CLOCK_BOOTTIME on
+// Linux). With a clock that stops during suspension, a resumed process would take expired grants for valid.
+// The time comes from clock_source, so the type has no now().
 struct boot_clock {
     using duration = std::chrono::nanoseconds;
     using rep = duration::rep;
--- a/state/view_ping.h
+++ b/state/view_ping.h
@@ -5,7 +5,8 @@
 
 namespace persimmonstile {
 
-// Agent to entry, every view_ping_interval: the agent's clock reading, which the entry returns in view_pong.
+// Agent to entry, every view_ping_interval: a reading of the agent's clock, which the entry returns in
+// view_pong or owner_pong.
 struct view_ping {
     std::int64_t sent_ns = 0;
 
--- a/state/view_pong.h
+++ b/state/view_pong.h
@@ -7,15 +7,16 @@
 
 namespace persimmonstile {
 
-// Entry to agent: the reply to view_ping. lease_ns is the time left on the entry's majority of grants, 0
-// without a majority. The agent's view is known to be current until sent_ns + lease_ns on its own clock. Time
-// is counted from the agent's own sending time, so network delays only shorten the lease and never extend it.
-// recorded is true if a majority of the grantors has the agent's incarnation on record.
+// Entry to agent: the reply to view_ping. The agent's view is current until sent_ns + lease_ns on the agent's
+// own clock. The lease counts from the time at which the agent sent the ping, so network delays shorten it
+// and never extend it.
 struct view_pong {
     std::int64_t sent_ns = 0;
+    // Time left on the entry's majority of grants; 0 without a majority.
     std::int64_t lease_ns = 0;
     table_version version = 0;
     config_revision revision = 0;
+    // A majority of the grantors has the agent's incarnation on record.
     bool recorded = false;
 
     static constexpr auto members() {
--- a/state/work_message.h
+++ b/state/work_message.h
@@ -22,7 +22,7 @@
 
 namespace persimmonstile {
 
-// Any message between the daemons of a deployment that keeps its jobs in the store. The index of an
+// Any message between the daemons of a deployment that keeps its durable jobs in the store. The index of an
 // alternative is its code on the wire, so new alternatives are added at the end.
 using work_message =
     std::variant<agent_profile, entry_welcome, view_ping, owner_pong, run_start_request, run_stop_request,
