--- a/daemon/agent_daemon.cpp
+++ b/daemon/agent_daemon.cpp
@@ -38,7 +38,8 @@
     return response;
 }
 
-// Adds the report to an earlier one of the same job that is still to be sent; false if there is none.
+// Merges the report into an unsent report to the same entry about the same job and epoch. Returns false if
+// there is none.
 bool merge_report(agent_actions& all, const task_message_to_entry& send) {
     const auto* added = std::get_if<task_reports>(&send.message);
     if (added == nullptr)
@@ -119,7 +120,7 @@
     }
     if (performing_ > 0)
         return false;
-    // The last results must reach their owners before the process ends.
+    // The connections close gracefully, so that the owners receive the last results before the process exits.
     if (!closing_.exchange(true)) {
         dialer_.stop();
         entries_.send_to_all(parting());
@@ -318,7 +319,8 @@
         ack = grantor_.push(push.table, clock_.now());
         table = grantor_.table();
     }
-    // The task table must refuse old epochs before the owner learns that this agent knows the new ones.
+    // The task table must refuse stale epochs before the acknowledgement tells the owner that this agent has
+    // the new owner table.
     apply([&](agent_task_table& tasks) { return tasks.set_table(table, clock_.now()); });
     send_control(connection, ack);
     redial();
@@ -330,7 +332,7 @@
         const std::lock_guard lock{grantor_mutex_};
         own_version = grantor_.table().version;
     }
-    // A view that is known to be old must not be prolonged.
+    // The lease of a view that is known to be stale must not be extended.
     if (pong.version > own_version || pong.revision > fleet_.revision()) {
         send_control(connection, content_request{own_version, fleet_.revision()});
         return;
--- a/daemon/agent_daemon.h
+++ b/daemon/agent_daemon.h
@@ -26,11 +26,11 @@
 
 namespace persimmonstile {
 
-// An agent process beside one backend server: runs the tasks that owners dispatch to it, and grants leases to
-// owners. The task table and the grantor each have a lock of their own.
+// An agent process beside one backend server. It runs the tasks that owners dispatch to it, and grants leases
+// to owners. The task table and the grantor have separate locks.
 class agent_daemon {
 public:
-    // Binds the HTTP address. Throws std::exception if that fails.
+    // Binds the HTTP address. Throws std::exception if it cannot be bound.
     agent_daemon(daemon_settings settings, const clock_source& clock);
     ~agent_daemon();
     agent_daemon(const agent_daemon&) = delete;
@@ -38,9 +38,10 @@
 
     const std::string& http_address() const { return http_->address(); }
 
-    // Starts the graceful shutdown: refuses new tasks, finishes the running ones.
+    // Starts the graceful shutdown: new tasks are refused, running ones finish.
     void begin_shutdown();
-    // True when nothing is left to wait for.
+    // True when no task is running, the last reports are sent and all connections are closed. The first call
+    // that finds no task running starts to close them.
     bool is_drained();
     void stop();
 
@@ -55,7 +56,7 @@
     void config_received(const std::string& content);
     void closed(const std::shared_ptr<peer_session>& session);
 
-    // Runs one event on the task table under its lock and performs the actions.
+    // Applies one event to the task table under its lock and performs the resulting actions.
     template <typename Event> void apply(Event event);
     void calls_ended(const std::vector<backend_client::ended_call>& ended);
     void perform(agent_actions actions);
@@ -89,7 +90,7 @@
     peer_dialer dialer_;
     std::unique_ptr<backend_client> backends_;
     std::unique_ptr<http_server> http_;
-    // Spans of one task that runs: at the agent, and the call to the backend server within it.
+    // Spans of one running task: its time at the agent, and within it the call to the backend server.
     struct task_spans {
         trace_span agent;
         trace_span call;
@@ -100,7 +101,7 @@
     std::atomic<bool> draining_{false};
     std::atomic<bool> closing_{false};
     std::atomic<bool> recorded_{false};
-    // Events whose actions are being performed.
+    // Number of events whose actions are being performed.
     std::atomic<int> performing_{0};
     bool stopped_ = false;
 };
--- a/daemon/agent_hub.h
+++ b/daemon/agent_hub.h
@@ -16,31 +16,31 @@
 
 namespace persimmonstile {
 
-// The agents that an entry knows: their connections, and for how long the unconnected ones have been away.
-// Thread-safe; calls no other component, so it may be used under any lock.
+// Registry of the agents that an entry knows: the newest connection of each, and since when the others have
+// been disconnected. Thread-safe. It calls back no other component, so it may be used under any lock.
 class agent_hub {
 public:
     explicit agent_hub(const clock_source& clock);
 
-    // Registers the connection as the agent's newest. Returns older incarnations of the same name, which are
-    // gone for good. is_new tells whether this connection was unknown.
+    // Registers the connection as the agent's newest. replaced lists the other incarnations of the same name,
+    // which have ended. is_new is false if the connection was already registered.
     struct registration {
         bool is_new = false;
         std::vector<incarnation> replaced;
     };
     registration connected(const agent_status& status, const std::shared_ptr<frame_connection>& connection);
 
-    // The agent of a closed connection, if it was that agent's newest connection.
+    // Removes a closed connection. Returns its agent if it was the agent's newest connection.
     std::optional<incarnation> disconnected(const frame_connection* connection);
 
-    // Starts the loss timeout of agents that are not connected, and returns those whose newer incarnation is
-    // known.
+    // Starts the loss timeout of those agents that are not connected. Returns those of which another
+    // incarnation is connected.
     std::vector<incarnation> expect(const std::vector<incarnation>& agents);
 
-    // Agents that have been away for longer than agent_loss_timeout. Each is returned once.
+    // Returns the agents that have been disconnected for at least agent_loss_timeout, each once.
     std::vector<incarnation> take_lost();
 
-    // Sends to the agent's newest connection; false if there is none.
+    // Sends to the agent's newest connection. Returns false if there is none.
     bool send(const incarnation& agent, const task_message& message);
     bool send(const incarnation& agent, const control_message& message);
     void send_to_others(const incarnation& except, const control_message& message);
@@ -49,6 +49,7 @@
     std::vector<incarnation> connected_agents() const;
 
 private:
+    // A connected agent with its last status.
     struct agent_link {
         agent_status status;
         std::shared_ptr<frame_connection> connection;
--- a/daemon/agent_metrics.cpp
+++ b/daemon/agent_metrics.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// In the order of the alternatives of an order's action.
+// In the order of the alternatives of backend_order::action.
 constexpr std::array<std::string_view, std::variant_size_v<decltype(backend_order::action)>> order_kinds{
     "start", "stop", "hold"};
 constexpr std::size_t start_kind = 0;
--- a/daemon/agent_metrics.h
+++ b/daemon/agent_metrics.h
@@ -17,7 +17,7 @@
 
 class agent_core;
 
-// Metrics of an agent of a deployment whose jobs are kept in the store.
+// Metrics of an agent in a deployment with durable jobs.
 class agent_metrics {
 public:
     agent_metrics();
@@ -26,11 +26,11 @@
     std::string prometheus_text() const { return registry_.prometheus_text(); }
 
     void decided(std::string_view what) { decisions_.add({what}); }
-    // An order of this kind, numbered like the alternatives of backend_order::action, has come to its end.
+    // Records the result of an order. kind is the index of its alternative in backend_order::action.
     void ordered(std::size_t kind, backend_verdict verdict, std::chrono::nanoseconds elapsed);
     void ended(run_state state) { ends_.add({to_string(state)}); }
     store_call_metrics& store_calls() { return store_calls_; }
-    // Sets the gauges.
+    // Sets the gauges to the present state of the agent.
     void observe(const agent_core& core);
 
 private:
--- a/daemon/daemon_options.cpp
+++ b/daemon/daemon_options.cpp
@@ -68,7 +68,7 @@
 
 std::variant<daemon_options, usage_error> parse_daemon_options(const std::vector<std::string>& args) {
     cxxopts::Options options = make_options();
-    // Unknown words are collected instead of thrown, so that the nearest option can be named.
+    // Unknown arguments are collected instead of thrown, so that the error can suggest the nearest option.
     options.allow_unrecognised_options();
     std::vector<const char*> words{program_name};
     for (const std::string& arg : args) {
--- a/daemon/durable_agent.cpp
+++ b/daemon/durable_agent.cpp
@@ -13,10 +13,10 @@
 
 constexpr const char* component = "agent";
 
-// Timers fire late rather than early; shorter waits would only cost wake-ups.
+// Timers tend to fire late, so shorter delays would add wake-ups without a gain in precision.
 constexpr milliseconds shortest_wait{1};
 
-// Without any entry the store is asked for them this often.
+// While no entry is known, the agent lists the entries in the store at this interval.
 constexpr milliseconds listing_interval{300};
 constexpr milliseconds listing_timeout{500};
 
--- a/daemon/durable_agent.h
+++ b/daemon/durable_agent.h
@@ -15,14 +15,15 @@
 
 namespace persimmonstile {
 
-// Gives an order to the backend server. The handler is called once, later.
+// Sends an order to the backend server. The handler is called exactly once, after the call has returned.
 using order_caller = std::function<void(const backend_order& order, const std::string& backend_id,
                                         std::function<void(const backend_reply&)>)>;
 
-// An agent of a deployment whose jobs are kept in the store: connects the decision logic with the backend
-// server, the entries and the clock. Everything happens on the thread that runs the context.
+// An agent in a deployment with durable jobs. It connects agent_core with the backend server, the entries,
+// the store and the clock. All calls are made on the thread that runs the context.
 class durable_agent {
 public:
+    // Calls that leave the process.
     struct ports {
         order_caller orders;
         store_caller store;
@@ -31,7 +32,7 @@
     durable_agent(asio::io_context& context, const daemon_settings& settings, const agent_limits& limits,
                   const clock_source& clock, ports outside);
 
-    // What the backend server reports of itself.
+    // The backend server has announced itself, or has deregistered.
     void announced(const backend_announcement& announcement);
     void left(const std::string& backend_id);
 
@@ -39,7 +40,7 @@
     bool is_drained() const { return core_.is_drained(); }
     void stop();
 
-    // The metrics as they are now, in the Prometheus text format.
+    // The present metrics in the Prometheus text format.
     std::string metrics_text();
 
 private:
@@ -57,10 +58,11 @@
     agent_metrics metrics_;
     asio::steady_timer timer_;
     time_point timer_due_{};
-    // Addresses from the settings and the store, for use while no entry is connected that names others.
+    // Entry addresses from the settings and the store. They are dialed while agent_core knows no entry
+    // addresses.
     std::set<std::string> known_addresses_;
     std::set<std::string> dialed_;
-    // No connected entry names others.
+    // True while agent_core knows no entry addresses.
     bool is_searching_ = true;
     bool is_listing_ = false;
     time_point next_listing_{};
--- a/daemon/link_hub.cpp
+++ b/daemon/link_hub.cpp
@@ -40,7 +40,7 @@
     dial();
 }
 
-// An address that is wanted again gets no second connection while the former one is open.
+// An address that is requested again is not dialed while its previous connection is open.
 void link_hub::dial() {
     std::set<std::string> addresses = wanted_;
     for (const auto& [link, open] : links_) {
--- a/daemon/link_hub.h
+++ b/daemon/link_hub.h
@@ -17,10 +17,11 @@
 
 namespace persimmonstile {
 
-// The connections of a daemon to its peers, numbered, with work messages in and out. Everything happens on
-// the thread that runs the context.
+// Sends and receives work messages over a daemon's connections to its peers, and numbers these connections.
+// All calls are made on the thread that runs the context.
 class link_hub {
 public:
+    // Called on the thread that runs the context.
     struct handlers {
         std::function<void(link_number link, bool is_dialed)> opened;
         std::function<void(link_number link)> closed;
@@ -29,15 +30,16 @@
 
     link_hub(asio::io_context& context, const clock_source& clock, handlers on_event);
 
-    // Accepts connections at "ip:port". Throws std::system_error if it cannot be bound.
+    // Accepts connections at "ip:port". Throws std::system_error if the address cannot be bound.
     void listen(const std::string& address);
-    // Keeps a connection to each of these addresses. Those to others stay until they break.
+    // Maintains a connection to each of these addresses. Connections to other addresses stay open until they
+    // are lost.
     void set_dialed(std::set<std::string> addresses);
 
-    // Messages to a closed link are dropped; its peer learns what it missed when it connects again.
+    // A message to a closed link is dropped. The peer learns what it missed when it connects again.
     void send(link_number link, const work_message& message);
     void close(link_number link, const std::string& reason);
-    // Writes what is queued and closes all connections.
+    // Stops listening and dialing. Closes all connections after their queued messages are written.
     void stop();
 
     std::size_t bytes_sent() const { return bytes_sent_; }
@@ -52,6 +54,7 @@
     handlers on_event_;
     std::unique_ptr<frame_listener> listener_;
     peer_dialer dialer_;
+    // An open connection.
     struct open_link {
         std::shared_ptr<frame_connection> connection;
         // Empty for accepted connections.
@@ -59,7 +62,7 @@
     };
     std::map<link_number, open_link> links_;
     std::set<std::string> wanted_;
-    // Addresses with a connector, which makes a new connection when the present one is lost.
+    // Addresses with a connector, which reconnects when the connection is lost.
     std::set<std::string> dialed_;
     link_number last_link_ = 0;
     std::size_t bytes_sent_ = 0;
--- a/daemon/log_decision.h
+++ b/daemon/log_decision.h
@@ -6,7 +6,7 @@
 
 namespace persimmonstile {
 
-// Writes one line for a decision.
+// Writes one log line for a decision.
 void log_decision(std::string_view component, const decision& made);
 
 } // namespace persimmonstile
--- a/daemon/main.cpp
+++ b/daemon/main.cpp
@@ -23,11 +23,11 @@
 constexpr int exit_findings = 1;
 constexpr int exit_usage = 2;
 constexpr std::chrono::milliseconds drain_poll_interval{20};
-// Wait for a reader of the log that is slow, before the process ends.
+// Upper bound on the wait for a slow reader of the log before the process exits.
 constexpr std::chrono::milliseconds last_lines_limit{100};
 constexpr const char* component = "daemon";
 
-// Runs a daemon until SIGTERM or SIGINT and its graceful shutdown. A second signal ends it at once.
+// Runs a daemon until SIGTERM or SIGINT, then shuts it down gracefully. A second signal stops it at once.
 template <typename Daemon> void run(Daemon& daemon, const daemon_settings& settings) {
     asio::io_context context;
     asio::signal_set signals{context, SIGTERM, SIGINT};
@@ -50,7 +50,7 @@
         limit.async_wait([&](asio::error_code error) {
             if (error)
                 return;
-            log_event(log_level::warn, component, "graceful shutdown did not finish in time");
+            log_event(log_level::warn, component, "graceful shutdown timed out");
             context.stop();
         });
         signals.async_wait([&](asio::error_code, int) { context.stop(); });
@@ -70,8 +70,8 @@
             platform::run_entry(settings, settings_path);
         else
             platform::run_agent(settings, settings_path);
-        // The logging library waits for its worker threads when static objects are destroyed, which has taken
-        // longer than the platform's grace period.
+        // The logging library joins its worker threads when static objects are destroyed. This has taken
+        // longer than the platform's grace period, so the destructors of static objects are skipped.
         flush_log(last_lines_limit);
         std::quick_exit(exit_done);
     }
--- a/daemon/peer_dialer.h
+++ b/daemon/peer_dialer.h
@@ -15,18 +15,17 @@
 
 namespace persimmonstile {
 
-// Keeps one outgoing connection to each of a changing set of addresses.
+// Maintains one outgoing connection to each address of a set that may change.
 class peer_dialer {
 public:
-    // Called with each new connection; the handler starts it. It must call lost() with the same address when
+    // Called with each new connection, which the handler has to start. Call lost() with the same address when
     // the connection closes.
     using connect_handler =
         std::function<void(const std::string& address, std::shared_ptr<frame_connection>)>;
 
     peer_dialer(asio::io_context& context, const clock_source& clock, connect_handler on_connect);
 
-    // Dials the addresses that are new and forgets those that are no longer named. Malformed ones are left
-    // out.
+    // Replaces the set: dials new addresses and stops dialing removed ones. Malformed addresses are ignored.
     void set_addresses(const std::set<std::string>& addresses);
     void lost(const std::string& address);
     void stop();
--- a/daemon/peer_session.h
+++ b/daemon/peer_session.h
@@ -10,13 +10,14 @@
 
 namespace persimmonstile {
 
-// One connection and what is known of its other end. Used on the connection's strand only.
+// A connection with the identity of its peer and the state of its decoder. Used on the connection's strand
+// only.
 struct peer_session {
     std::shared_ptr<frame_connection> connection;
     control_decoder decoder;
     std::optional<incarnation> entry;
     std::optional<incarnation> agent;
-    // Dialed address, empty for accepted connections.
+    // The dialed address; empty for accepted connections.
     std::string address;
 };
 
--- a/daemon/receive_frame.h
+++ b/daemon/receive_frame.h
@@ -9,8 +9,8 @@
 
 namespace persimmonstile {
 
-// Decodes one frame and hands its message to on_task or on_control. A malformed frame closes the connection,
-// because what follows it cannot be trusted either.
+// Decodes one frame and passes its message to on_task or on_control. A malformed frame closes the connection,
+// because the frames after it cannot be trusted either.
 template <typename On_task, typename On_control>
 void receive_frame(peer_session& session, frame_kind kind, std::string_view payload,
                    std::string_view component, const On_task& on_task, const On_control& on_control) {
--- a/tests/platform_codec_test.cpp
+++ b/tests/platform_codec_test.cpp
@@ -98,7 +98,7 @@
     EXPECT_EQ(encode_store_call(store_list{"p/", "p/k"}).target, "/kv-range?PathPrefix=p/&After=p/k");
 }
 
-// Guards against a value that another system wrote under a key of this project.
+// Guards against a failure on a value that another system wrote under a key of this project.
 TEST(kv_codec, passes_on_values_that_it_cannot_read) {
     const store_reply reply = decode_store_answer(
         store_read{"persimmonstile/x"},
@@ -167,7 +167,7 @@
     EXPECT_EQ(verdict(421, ""), backend_verdict::other_instance);
     EXPECT_EQ(verdict(503, ""), backend_verdict::unhealthy);
     EXPECT_EQ(verdict(400, ""), backend_verdict::invalid);
-    // Whatever else is answered, the order may have been carried out.
+    // With any other status, the order may have been carried out.
     EXPECT_EQ(verdict(500, ""), backend_verdict::no_answer);
     http_answer lost;
     lost.sent = true;
@@ -175,7 +175,7 @@
     EXPECT_EQ(decode_order_answer(order, http_answer{}).verdict, backend_verdict::not_sent);
 }
 
-// Guards against conclusions from lists that are only half read.
+// Guards against decisions that are based on partly decoded lists.
 TEST(order_codec, takes_lists_that_cannot_be_read_for_no_answer) {
     backend_order order;
     order.action = hold_order{};
@@ -243,7 +243,7 @@
     EXPECT_EQ(report->clock_ms, 482113);
 }
 
-// Guards against reports of other writers that would be taken for a backend server.
+// Guards against announcements of other writers that are mistaken for those of a backend server.
 TEST(registration_codec, ignores_reports_of_other_writers) {
     for (const char* body :
          {"", "\xff\xfe", "{}", R"({"State":"ready"})",
