--- a/coordination/entry_core.cpp
+++ b/coordination/entry_core.cpp
@@ -144,8 +144,8 @@
         send(store_call_source::operators, call.id, std::move(call.what), call.timeout);
     for (const auto& [question, job] : orphans_.take_queries(is_first_entry(), now))
         send(store_call_source::orphans, question, store_read{job_key(job)}, read_timeout);
-    for (job_locator::read& read : locator_.take_reads())
-        send(store_call_source::locator, read.id, store_read{job_key(read.job)}, read_timeout);
+    for (job_locator::record_read& record_read : locator_.take_reads())
+        send(store_call_source::locator, record_read.id, store_read{job_key(record_read.job)}, read_timeout);
 }
 
 void entry_core::store_replied(std::uint64_t id, const store_reply& answer, time_point now, wall_time wall) {
--- a/coordination/job_locator.h
+++ b/coordination/job_locator.h
@@ -23,7 +23,7 @@
 class job_locator {
 public:
     // A read of the job's state from the store. The id is that of the lookup.
-    struct store_read {
+    struct record_read {
         std::uint64_t id = 0;
         job_id job;
     };
@@ -38,7 +38,7 @@
     // Retries lookups that got no answer. Those past answer_by are dropped and answered as uncertain.
     void tick(time_point now);
 
-    std::vector<store_read> take_reads() { return std::exchange(reads_, {}); }
+    std::vector<record_read> take_reads() { return std::exchange(reads_, {}); }
     // Questions to be sent to the owners of jobs.
     std::vector<std::pair<incarnation, job_lookup_request>> take_queries() {
         return std::exchange(questions_, {});
@@ -73,7 +73,7 @@
     std::map<std::uint64_t, lookup> lookups_;
     // Cached owners of jobs, so that the next lookup needs no call to the store.
     std::unordered_map<job_id, incarnation> owners_;
-    std::vector<store_read> reads_;
+    std::vector<record_read> reads_;
     std::vector<std::pair<incarnation, job_lookup_request>> questions_;
     std::vector<caller_reply> replies_;
     std::vector<own_job> own_jobs_;
