--- a/coordination/agent_links.cpp
+++ b/coordination/agent_links.cpp
@@ -300,7 +300,7 @@
     profile.backend = backend_;
     profile.accepts_runs = !refusal_reason();
     profile.is_suspect = backend_health_.is_avoided(now);
-    profile.room = {free_capacity(now), runs_.queued(), 0};
+    profile.reported_capacity = {free_capacity(now), runs_.queued(), 0};
     return profile;
 }
 
@@ -311,7 +311,7 @@
     agent_profile current = profile(now);
     sent_profile_ = current;
     for (const auto& [link, state] : links_) {
-        current.room.received_starts = state.received_starts;
+        current.reported_capacity.received_starts = state.received_starts;
         output_.messages.emplace_back(link, current);
     }
 }
@@ -335,9 +335,9 @@
     run_reports message;
     message.reports.swap(state.reports);
     state.has_urgent_report = false;
-    message.room = free_capacity_for(state, now);
+    message.reported_capacity = free_capacity_for(state, now);
     message.sent_ns = now.time_since_epoch().count();
-    state.sent_capacity = message.room;
+    state.sent_capacity = message.reported_capacity;
     state.capacity_sent_at = now;
     output_.messages.emplace_back(link, std::move(message));
 }
--- a/coordination/agent_task_table.cpp
+++ b/coordination/agent_task_table.cpp
@@ -148,7 +148,7 @@
             task_record& record = known->second;
             const bool is_later =
                 std::pair{message.epoch, task.attempt} > std::pair{record.epoch, record.attempt};
-            if (!(is_later && may_start_again(record, message.idempotent))) {
+            if (!(is_later && may_start_again(record, message.is_idempotent))) {
                 // The task is not started again, and its result also answers the later attempt. A duplicate
                 // dispatch is answered with the result if there is one; otherwise the result follows.
                 if (is_later) {
@@ -184,11 +184,11 @@
 
 // A refused attempt never ran. An attempt whose result was lost may run again only if the request is
 // idempotent.
-bool agent_task_table::may_start_again(const task_record& record, bool idempotent) {
+bool agent_task_table::may_start_again(const task_record& record, bool is_idempotent) {
     if (record.state != record_phase::ended)
         return false;
     const task_status status = record.report.status;
-    return status == task_status::not_started || (idempotent && status == task_status::unknown);
+    return status == task_status::not_started || (is_idempotent && status == task_status::unknown);
 }
 
 std::vector<std::uint64_t> agent_task_table::known_job_hashes() const {
--- a/coordination/agent_task_table.h
+++ b/coordination/agent_task_table.h
@@ -98,7 +98,7 @@
     };
 
     bool may_start(time_point now) const;
-    static bool may_start_again(const task_record& record, bool idempotent);
+    static bool may_start_again(const task_record& record, bool is_idempotent);
     std::optional<refusal> refusal_reason(const dispatch& message, time_point now) const;
     void accept(const dispatch& message, const task_payload& task, job_tasks& job, time_point now);
     void refuse_queued(refusal reason, time_point now, agent_actions& actions);
--- a/coordination/agent_view.h
+++ b/coordination/agent_view.h
@@ -32,7 +32,7 @@
     // jobs (is_session_introduced).
     bool is_introduced = false;
     bool is_session_introduced = false;
-    agent_free_capacity room;
+    agent_free_capacity reported_capacity;
     // Number of start messages sent on this connection, and the resource needs of those that `room` does not
     // include yet.
     std::uint64_t sent_starts = 0;
@@ -54,7 +54,7 @@
     // Reported free capacity minus the needs of queued runs and of start messages that the report does not
     // include.
     resources free() const {
-        resources left = room.free - room.queued;
+        resources left = reported_capacity.free - reported_capacity.queued;
         for (const auto& [number_sent, needs] : unacknowledged_starts)
             left -= needs;
         return left;
--- a/coordination/entry_agents.cpp
+++ b/coordination/entry_agents.cpp
@@ -53,9 +53,9 @@
             if (!state.is_settled)
                 output_.messages.emplace_back(link, owner_succession{former, session()});
         }
-        agent.room = profile.room;
+        agent.reported_capacity = profile.reported_capacity;
     } else {
-        update_free_capacity(agent, profile.room);
+        update_free_capacity(agent, profile.reported_capacity);
     }
     agent.is_recorded = members().agents().contains(agent.name);
     is_plan_needed_ = true;
@@ -79,10 +79,10 @@
     return session().number != 0 && now - session_manager_.last_contact() < limits_.store_contact_timeout;
 }
 
-void entry_core::update_free_capacity(agent_view& agent, const agent_free_capacity& room) {
-    agent.room = room;
+void entry_core::update_free_capacity(agent_view& agent, const agent_free_capacity& reported_capacity) {
+    agent.reported_capacity = reported_capacity;
     while (!agent.unacknowledged_starts.empty() &&
-           agent.unacknowledged_starts.front().first <= room.received_starts)
+           agent.unacknowledged_starts.front().first <= reported_capacity.received_starts)
         agent.unacknowledged_starts.pop_front();
     is_plan_needed_ = true;
 }
@@ -94,7 +94,7 @@
     record_contact(*agent, message.sent_ns, now);
     for (const run_report& report : message.reports)
         apply_report(*agent, report, now);
-    update_free_capacity(*agent, message.room);
+    update_free_capacity(*agent, message.reported_capacity);
 }
 
 void entry_core::receive(link_number link, const run_inventory& message, time_point now) {
--- a/coordination/entry_core.h
+++ b/coordination/entry_core.h
@@ -114,7 +114,7 @@
     void send_welcome_to_all();
     std::vector<std::string> entry_addresses() const;
     static void record_contact(agent_view& agent, std::int64_t reading_ns, time_point now);
-    void update_free_capacity(agent_view& agent, const agent_free_capacity& room);
+    void update_free_capacity(agent_view& agent, const agent_free_capacity& reported_capacity);
     void apply_report(agent_view& agent, const run_report& report, time_point now);
     static void mark_started(ledger_job& job);
     void update_run_time_estimates(agent_view& agent, ledger_job& job, const run_report& report,
--- a/coordination/grantor.cpp
+++ b/coordination/grantor.cpp
@@ -27,7 +27,7 @@
     grant_reply reply;
     reply.grantor = self_;
     reply.sequence = request.sequence;
-    reply.recovering = recovering_;
+    reply.is_recovering = recovering_;
     reply.version = table_.version;
     if (recovering_)
         return reply;
@@ -51,7 +51,7 @@
     table_ack ack;
     ack.grantor = self_;
     ack.version = table_.version;
-    ack.recovering = recovering_;
+    ack.is_recovering = recovering_;
     ack.recorded = recorded_agents();
     return ack;
 }
--- a/coordination/job_table.cpp
+++ b/coordination/job_table.cpp
@@ -42,8 +42,8 @@
 
 std::size_t estimate_bytes(const job_id& job, const owned_job& record) {
     std::size_t bytes = record_overhead_bytes + job.size();
-    if (record.outcome && std::holds_alternative<job_complete>(*record.outcome)) {
-        for (const std::string& answer : std::get<job_complete>(*record.outcome).answers)
+    if (record.outcome && std::holds_alternative<job_completed>(*record.outcome)) {
+        for (const std::string& answer : std::get<job_completed>(*record.outcome).answers)
             bytes += answer.size() + sizeof(std::string);
     }
     return bytes;
@@ -84,8 +84,8 @@
     return result;
 }
 
-job_complete collect_answers(owned_job& record) {
-    job_complete complete;
+job_completed collect_answers(owned_job& record) {
+    job_completed complete;
     complete.answers.reserve(record.tasks.size());
     for (owned_task& task : record.tasks)
         complete.answers.push_back(std::move(task.answer));
@@ -195,7 +195,7 @@
                           job_actions& actions) {
     record.spec = request.spec;
     record.traceparent = request.traceparent;
-    record.idempotent = request.idempotent;
+    record.is_idempotent = request.is_idempotent;
     record.accepted = now;
     const auto allowed =
         request.spec->deadline_ms > 0 ? request.spec->deadline() : request.default_deadline();
@@ -397,7 +397,7 @@
     message.job = job;
     message.service = record.spec->service;
     message.method = record.spec->method;
-    message.idempotent = record.idempotent;
+    message.is_idempotent = record.is_idempotent;
     message.traceparent = record.traceparent;
     message.remaining_ms = std::chrono::duration_cast<milliseconds>(record.deadline - now).count();
     message.tasks.reserve(tasks.size());
@@ -466,7 +466,7 @@
 
 void job_table::process_lost_result(const job_id& job, owned_job& record, owned_task& task, task_index index,
                                     time_point now, job_actions& actions) {
-    if (record.idempotent && record.retries < max_retries_per_request) {
+    if (record.is_idempotent && record.retries < max_retries_per_request) {
         ++record.retries;
         task.phase = owned_task_phase::waiting;
         actions.queue.push_back({job, record.spec, {index}, record.deadline, false});
@@ -639,7 +639,7 @@
             {agent, make_revoke(job, record, partitions_.at(record.partition).epoch, tasks)});
     ended_job ended;
     ended.job = job;
-    ended.complete = std::holds_alternative<job_complete>(outcome);
+    ended.complete = std::holds_alternative<job_completed>(outcome);
     if (!ended.complete)
         ended.reason = std::get<job_failed>(outcome).reason;
     ended.accepted = record.accepted;
--- a/coordination/owned_job.h
+++ b/coordination/owned_job.h
@@ -40,7 +40,7 @@
     std::string traceparent;
     partition_id partition = 0;
     owned_job_phase phase = owned_job_phase::admitting;
-    bool idempotent = false;
+    bool is_idempotent = false;
     std::uint32_t retries = 0;
     time_point accepted;
     time_point deadline;
--- a/coordination/ownership.cpp
+++ b/coordination/ownership.cpp
@@ -122,10 +122,10 @@
         return actions;
     grantor->last_sequence = reply.sequence;
     grantor->last_answered_at = sent->second;
-    grantor->recovering = reply.recovering;
+    grantor->is_recovering = reply.is_recovering;
     grantor->reported_silent = reply.silent_owners;
     grantor->known = std::max(grantor->known, reply.version);
-    if (!reply.recovering)
+    if (!reply.is_recovering)
         grantor->acknowledged = std::max(grantor->acknowledged, reply.version);
     if (reply.granted)
         grantor->lease_expires_at = sent->second + grant_period;
@@ -141,7 +141,7 @@
     if (grantor == nullptr)
         return actions;
     grantor->known = std::max(grantor->known, ack.version);
-    if (!ack.recovering)
+    if (!ack.is_recovering)
         grantor->acknowledged = std::max(grantor->acknowledged, ack.version);
     if (table_.grantors.empty() && ack.version == table_.version && is_covered_by_bootstrap_read(*grantor))
         grantor->accepts_first_table = true;
@@ -470,7 +470,7 @@
 
 void ownership::exchange_tables(const agent_state& agent, table_version known, time_point now,
                                 ownership_actions& actions) {
-    if (known < table_.version || (agent.recovering && !agent.acknowledged)) {
+    if (known < table_.version || (agent.is_recovering && !agent.acknowledged)) {
         if (bootstrap_read_ && is_covered_by_bootstrap_read(agent) &&
             bootstrap_read_->version + 1 == table_.version) {
             owner_table base;
@@ -688,7 +688,7 @@
 
 bool ownership::is_healthy(const std::string& name, time_point now) const {
     const agent_state* grantor = find_grantor(name);
-    return grantor != nullptr && grantor->is_connected && !grantor->recovering &&
+    return grantor != nullptr && grantor->is_connected && !grantor->is_recovering &&
            grantor->acknowledged >= table_.version && grantor->last_answered_at &&
            now - *grantor->last_answered_at <= max_silence_report_age;
 }
--- a/coordination/ownership.h
+++ b/coordination/ownership.h
@@ -89,7 +89,7 @@
         // recovering.
         table_version known = 0;
         table_version acknowledged = 0;
-        bool recovering = true;
+        bool is_recovering = true;
         std::uint64_t last_sequence = 0;
         // Sending time of the latest request that was answered.
         std::optional<time_point> last_answered_at;
--- a/coordination/run_time_model.cpp
+++ b/coordination/run_time_model.cpp
@@ -47,11 +47,11 @@
         step_ends.push_back(begin + expected_seconds(job.record->queue, step.estimate()));
         longest = std::max(longest, step_ends.back());
     }
-    const double stretch = queue != nullptr ? queue->stretch : 1.0;
+    const double max_stretch = queue != nullptr ? queue->max_stretch : 1.0;
     const milliseconds slack = queue != nullptr ? queue->slack : milliseconds{0};
-    const auto objective =
-        std::chrono::duration_cast<boot_clock::duration>(std::chrono::duration<double>{stretch * longest}) +
-        slack;
+    const auto objective = std::chrono::duration_cast<boot_clock::duration>(
+                               std::chrono::duration<double>{max_stretch * longest}) +
+                           slack;
     job_target target;
     target.chain_duration = std::chrono::duration_cast<milliseconds>(std::chrono::duration<double>{longest});
     target.in_time = job.accepted + objective;
--- a/coordination/validated_submission.h
+++ b/coordination/validated_submission.h
@@ -18,7 +18,7 @@
     std::shared_ptr<const job_spec> spec;
     std::string traceparent;
     caller_token token = 0;
-    bool idempotent = false;
+    bool is_idempotent = false;
     std::int64_t default_deadline_ms = 60000;
 
     std::chrono::milliseconds default_deadline() const {
@@ -28,7 +28,8 @@
     static constexpr auto members() {
         return std::make_tuple(&validated_submission::job, &validated_submission::spec,
                                &validated_submission::traceparent, &validated_submission::token,
-                               &validated_submission::idempotent, &validated_submission::default_deadline_ms);
+                               &validated_submission::is_idempotent,
+                               &validated_submission::default_deadline_ms);
     }
 };
 
--- a/daemon/agent_daemon.cpp
+++ b/daemon/agent_daemon.cpp
@@ -339,7 +339,7 @@
     }
     if (pong.lease_ns <= 0)
         return;
-    if (pong.recorded && !recorded_.exchange(true))
+    if (pong.is_agent_recorded && !recorded_.exchange(true))
         apply([&](agent_task_table& tasks) { return tasks.mark_agent_recorded(clock_.now()); });
     const time_point until{std::chrono::nanoseconds{pong.sent_ns + pong.lease_ns}};
     apply([&](agent_task_table& tasks) { return tasks.extend_lease(until, clock_.now()); });
--- a/daemon/entry_daemon.cpp
+++ b/daemon/entry_daemon.cpp
@@ -237,7 +237,7 @@
     pong.lease_ns = ownership_.lease_left(clock_.now()).count();
     pong.version = ownership_.table().version;
     pong.revision = fleet_config_.revision();
-    pong.recorded = ownership_.is_recorded(agent);
+    pong.is_agent_recorded = ownership_.is_recorded(agent);
     const encoded_frame frame = encode_control_message(pong);
     connection->send(frame.kind, frame.payload);
 }
--- a/daemon/job_engine.cpp
+++ b/daemon/job_engine.cpp
@@ -135,7 +135,7 @@
         const service_policy* service = fleet_ ? fleet_->find_service(request.spec->service) : nullptr;
         if (service != nullptr) {
             request.default_deadline_ms = service->default_deadline.count();
-            request.idempotent =
+            request.is_idempotent =
                 request.spec->is_request() && service->idempotent_methods.contains(request.spec->method);
         }
     }
--- a/protocol/job_response.cpp
+++ b/protocol/job_response.cpp
@@ -9,7 +9,7 @@
 constexpr const char* problem_type = "application/problem+json";
 
 // Answers are JSON text already, so the body is put together without parsing them.
-std::string complete_body(const job_id& job, const job_complete& complete) {
+std::string complete_body(const job_id& job, const job_completed& complete) {
     std::string body = R"({"job":)" + nlohmann::json(job).dump() + R"(,"outcome":"complete","answers":[)";
     bool first = true;
     for (const std::string& answer : complete.answers) {
@@ -39,7 +39,7 @@
 
 job_response outcome_response(const job_id& job, const job_outcome& outcome) {
     job_response response;
-    if (const auto* complete = std::get_if<job_complete>(&outcome)) {
+    if (const auto* complete = std::get_if<job_completed>(&outcome)) {
         response.body = complete_body(job, *complete);
         return response;
     }
--- a/soak/callers.cpp
+++ b/soak/callers.cpp
@@ -188,7 +188,7 @@
     ++state.tries;
     const milliseconds patience =
         std::max(shortest_patience, 3 * std::chrono::duration_cast<milliseconds>(
-                                            state.queue.stretch * state.plan.steps.front().estimate()) +
+                                            state.queue.max_stretch * state.plan.steps.front().estimate()) +
                                         extra_patience);
     entry_state& entry = pick_entry();
     entry.client->send(submit_request(entry.addresses.front_address, state.queue, job, state.plan, patience),
--- a/soak/deployment.cpp
+++ b/soak/deployment.cpp
@@ -107,7 +107,7 @@
         queue.service = "dispatch";
         queue.max_attempts = 3;
         queue.priority = priority;
-        queue.stretch = 1.6;
+        queue.max_stretch = 1.6;
         queue.slack = milliseconds{60};
         config_.queues.push_back(queue);
     };
--- a/standins/caller_wire.cpp
+++ b/standins/caller_wire.cpp
@@ -80,7 +80,7 @@
                           {"Service", queue.service},
                           {"Attempts", queue.max_attempts},
                           {"Priority", queue.priority},
-                          {"Stretch", queue.stretch},
+                          {"Stretch", queue.max_stretch},
                           {"SloMs", queue.slack.count()}});
     return json{{"Version", config.version},
                 {"Routes", std::move(routes)},
--- a/state/agent_profile.h
+++ b/state/agent_profile.h
@@ -20,14 +20,15 @@
     bool accepts_runs = false;
     // backend.id is empty while no backend server is known.
     backend_profile backend;
-    agent_free_capacity room;
+    agent_free_capacity reported_capacity;
     // Runs of this agent fail or make no progress, even if the backend server reports itself healthy. Entries
     // prefer other agents.
     bool is_suspect = false;
 
     static constexpr auto members() {
         return std::make_tuple(&agent_profile::agent, &agent_profile::zone, &agent_profile::accepts_runs,
-                               &agent_profile::backend, &agent_profile::room, &agent_profile::is_suspect);
+                               &agent_profile::backend, &agent_profile::reported_capacity,
+                               &agent_profile::is_suspect);
     }
 };
 
--- a/state/dispatch.h
+++ b/state/dispatch.h
@@ -28,7 +28,7 @@
     // Method of a single request; empty for a job.
     std::string method;
     // The configuration allows this request to run more than once, so a later attempt may start it again.
-    bool idempotent = false;
+    bool is_idempotent = false;
 
     std::chrono::milliseconds remaining() const { return std::chrono::milliseconds{remaining_ms}; }
 
@@ -36,7 +36,7 @@
         return std::make_tuple(&dispatch::target, &dispatch::partition, &dispatch::epoch, &dispatch::revision,
                                &dispatch::job, &dispatch::service, &dispatch::traceparent,
                                &dispatch::remaining_ms, &dispatch::tasks, &dispatch::method,
-                               &dispatch::idempotent);
+                               &dispatch::is_idempotent);
     }
 };
 
--- a/state/grant_reply.h
+++ b/state/grant_reply.h
@@ -18,7 +18,7 @@
     // recovering.
     bool granted = false;
     // The grantor has restarted and does not know yet what it acknowledged before.
-    bool recovering = false;
+    bool is_recovering = false;
     // The grantor's own version and revision, so that each side learns which is newer.
     table_version version = 0;
     config_revision revision = 0;
@@ -29,7 +29,7 @@
 
     static constexpr auto members() {
         return std::make_tuple(&grant_reply::grantor, &grant_reply::sequence, &grant_reply::granted,
-                               &grant_reply::recovering, &grant_reply::version, &grant_reply::revision,
+                               &grant_reply::is_recovering, &grant_reply::version, &grant_reply::revision,
                                &grant_reply::silent_owners, &grant_reply::recorded);
     }
 };
--- a/state/job_outcome.h
+++ b/state/job_outcome.h
@@ -12,10 +12,10 @@
 namespace persimmonstile {
 
 // A job whose tasks all succeeded. answers[i] is the JSON text that task i returned.
-struct job_complete {
+struct job_completed {
     std::vector<std::string> answers;
 
-    static constexpr auto members() { return std::make_tuple(&job_complete::answers); }
+    static constexpr auto members() { return std::make_tuple(&job_completed::answers); }
 };
 
 // A job that ended without the results of all its tasks.
@@ -36,6 +36,6 @@
 };
 
 // Final result of a job.
-using job_outcome = std::variant<job_complete, job_failed>;
+using job_outcome = std::variant<job_completed, job_failed>;
 
 } // namespace persimmonstile
--- a/state/limits.h
+++ b/state/limits.h
@@ -38,10 +38,10 @@
 // Same as owner_contact_lease, for best-effort jobs. The runs must have ended before the caller resends the
 // job. stop_allowance covers a stop order that is lost twice, its execution and the network delays. With a
 // lease below min_lease, an entry that is busy for a moment would lose its runs.
-constexpr std::chrono::milliseconds caller_contact_lease(std::chrono::milliseconds caller_resend) {
+constexpr std::chrono::milliseconds caller_contact_lease(std::chrono::milliseconds caller_resend_delay) {
     constexpr std::chrono::milliseconds stop_allowance{400};
     constexpr std::chrono::milliseconds min_lease{400};
-    return std::max(caller_resend - stop_allowance, min_lease);
+    return std::max(caller_resend_delay - stop_allowance, min_lease);
 }
 
 // An agent that is unreachable for this long is considered lost, and its tasks get an unknown outcome.
--- a/state/queue_policy.h
+++ b/state/queue_policy.h
@@ -19,7 +19,7 @@
     // 0 is the highest priority.
     std::uint32_t priority = 0;
     // A job meets its target if it takes no longer than stretch times its critical path, plus slack.
-    double stretch = 1;
+    double max_stretch = 1;
     std::chrono::milliseconds slack{0};
 };
 
--- a/state/run_reports.h
+++ b/state/run_reports.h
@@ -13,13 +13,13 @@
 // message only updates the free capacity.
 struct run_reports {
     std::vector<run_report> reports;
-    agent_free_capacity room;
+    agent_free_capacity reported_capacity;
     // Reading of the agent's clock when it sent the message, as in view_ping. The entry returns it in its
     // next run_start_request.
     std::int64_t sent_ns = 0;
 
     static constexpr auto members() {
-        return std::make_tuple(&run_reports::reports, &run_reports::room, &run_reports::sent_ns);
+        return std::make_tuple(&run_reports::reports, &run_reports::reported_capacity, &run_reports::sent_ns);
     }
 };
 
--- a/state/table_ack.h
+++ b/state/table_ack.h
@@ -14,12 +14,12 @@
     incarnation grantor;
     table_version version = 0;
     // The grantor has restarted and does not know yet what it acknowledged before.
-    bool recovering = false;
+    bool is_recovering = false;
     // Every agent incarnation that the grantor has on record.
     std::vector<incarnation> recorded;
 
     static constexpr auto members() {
-        return std::make_tuple(&table_ack::grantor, &table_ack::version, &table_ack::recovering,
+        return std::make_tuple(&table_ack::grantor, &table_ack::version, &table_ack::is_recovering,
                                &table_ack::recorded);
     }
 };
--- a/state/uuid_time.cpp
+++ b/state/uuid_time.cpp
@@ -33,7 +33,7 @@
     return true;
 }
 
-bool has_rfc_variant(char c) {
+bool is_rfc_variant(char c) {
     return c == '8' || c == '9' || c == 'a' || c == 'b' || c == 'A' || c == 'B';
 }
 
@@ -42,7 +42,7 @@
 std::optional<wall_time> uuid_time(const job_id& job) {
     if (job.size() != uuid_length || !has_hyphens(job) || !has_hex_digits(job))
         return std::nullopt;
-    if (job[version_position] != '7' || !has_rfc_variant(job[variant_position]))
+    if (job[version_position] != '7' || !is_rfc_variant(job[variant_position]))
         return std::nullopt;
     const std::string timestamp_digits = job.substr(0, 8) + job.substr(9, 4);
     std::int64_t unix_ms = 0;
--- a/state/view_pong.h
+++ b/state/view_pong.h
@@ -17,11 +17,11 @@
     table_version version = 0;
     config_revision revision = 0;
     // A majority of the grantors has the agent's incarnation on record.
-    bool recorded = false;
+    bool is_agent_recorded = false;
 
     static constexpr auto members() {
         return std::make_tuple(&view_pong::sent_ns, &view_pong::lease_ns, &view_pong::version,
-                               &view_pong::revision, &view_pong::recorded);
+                               &view_pong::revision, &view_pong::is_agent_recorded);
     }
 };
 
--- a/tests/agent_core_test.cpp
+++ b/tests/agent_core_test.cpp
@@ -112,14 +112,14 @@
 
     // The free capacity that was reported to the entry last.
     agent_free_capacity last_room() const {
-        agent_free_capacity room;
+        agent_free_capacity reported_capacity;
         for (const work_message& message : messages_) {
             if (const auto* profile = std::get_if<agent_profile>(&message))
-                room = profile->room;
+                reported_capacity = profile->reported_capacity;
             else if (const auto* reports = std::get_if<run_reports>(&message))
-                room = reports->room;
+                reported_capacity = reports->reported_capacity;
         }
-        return room;
+        return reported_capacity;
     }
 
     void send_starts(std::uint32_t tasks, bool is_durable, const job_id& job = "job", run_number run = 1,
--- a/tests/agent_task_table_test.cpp
+++ b/tests/agent_task_table_test.cpp
@@ -29,7 +29,7 @@
     }
 
     agent_actions dispatch_task(task_index index, std::uint32_t attempt = 1, epoch_number epoch = 1,
-                                config_revision revision = 1, bool idempotent = false) {
+                                config_revision revision = 1, bool is_idempotent = false) {
         dispatch message;
         message.target = self;
         message.job = "job";
@@ -39,7 +39,7 @@
         message.service = service;
         message.remaining_ms = 60000;
         message.tasks = {{index, attempt, "{}"}};
-        message.idempotent = idempotent;
+        message.is_idempotent = is_idempotent;
         return tasks_.dispatched(owner, message, now_);
     }
 
--- a/tests/dispatch_simulation.h
+++ b/tests/dispatch_simulation.h
@@ -559,7 +559,7 @@
         queue.path_prefix = "/q/";
         queue.service = "service";
         queue.max_attempts = max_attempts;
-        queue.stretch = 1.6;
+        queue.max_stretch = 1.6;
         queue.slack = milliseconds{60};
         config->queues.push_back(queue);
         return config;
--- a/tests/entry_core_test.cpp
+++ b/tests/entry_core_test.cpp
@@ -101,7 +101,7 @@
         queue.name = "queue";
         queue.service = "service";
         queue.max_attempts = 2;
-        queue.stretch = 1.6;
+        queue.max_stretch = 1.6;
         queue.slack = milliseconds{60};
         config->queues.push_back(queue);
         entry_.take_config_change();
@@ -120,7 +120,7 @@
         profile.backend.service = "service";
         profile.backend.zone = "zone";
         profile.backend.capacity = {10000, 4096, 0};
-        profile.room.free = profile.backend.capacity;
+        profile.reported_capacity.free = profile.backend.capacity;
         entry_.received(link, profile, now_, wall_);
         entry_.received(link, view_ping{}, now_, wall_);
         entry_.received(link, run_inventory{process_, {}, 0}, now_, wall_);
@@ -189,10 +189,10 @@
     }
 
     void report(const run_report& reported, link_number link = agent_link) {
-        agent_free_capacity room;
-        room.free = {10000, 4096, 0};
-        room.received_starts = received_starts_;
-        entry_.received(link, run_reports{{reported}, room}, now_, wall_);
+        agent_free_capacity reported_capacity;
+        reported_capacity.free = {10000, 4096, 0};
+        reported_capacity.received_starts = received_starts_;
+        entry_.received(link, run_reports{{reported}, reported_capacity}, now_, wall_);
         collect();
     }
 };
@@ -511,7 +511,7 @@
     profile.backend.life = 1000;
     profile.backend.service = "service";
     profile.backend.capacity = {10000, 4096, 0};
-    profile.room.free = profile.backend.capacity;
+    profile.reported_capacity.free = profile.backend.capacity;
     entry_.received(link, profile, now_, wall_);
     entry_.received(link, run_inventory{{}, {report_of(runs[0], run_state::running)}, 0}, now_, wall_);
     entry_.received(link, run_inventory{process_, {}, 0}, now_, wall_);
--- a/tests/grantor_test.cpp
+++ b/tests/grantor_test.cpp
@@ -47,16 +47,16 @@
     grantor fresh = initial_grantor("g", {"g", "h", "i"});
     EXPECT_TRUE(is_granted(fresh, owner_a, 1, start));
     grantor restarted{{"g", 2}, start};
-    EXPECT_TRUE(restarted.push(table_with(1, {"g", "h", "i"}), start).recovering);
+    EXPECT_TRUE(restarted.push(table_with(1, {"g", "h", "i"}), start).is_recovering);
     EXPECT_FALSE(is_granted(restarted, owner_a, 1, start + 10s));
     // A bootstrap read does not cover tables after the first one.
     grantor late{{"g", 3}, start};
     late.push(owner_table{}, start);
-    EXPECT_TRUE(late.push(table_with(2, {"g", "h", "i"}), start).recovering);
+    EXPECT_TRUE(late.push(table_with(2, {"g", "h", "i"}), start).is_recovering);
     // It may arrive after the first table, although it was sent before.
     grantor reordered{{"g", 4}, start};
     reordered.push(table_with(1, {"g", "h", "i"}), start);
-    EXPECT_FALSE(reordered.push(owner_table{}, start).recovering);
+    EXPECT_FALSE(reordered.push(owner_table{}, start).is_recovering);
 }
 
 // Guards against granting leases to an owner that was deposed or that has an older configuration.
--- a/tests/job_simulation.h
+++ b/tests/job_simulation.h
@@ -529,7 +529,7 @@
 
     void check_outcome(const job_id& job, const job_outcome& outcome) {
         job_facts& facts = facts_[job];
-        if (const auto* complete = std::get_if<job_complete>(&outcome)) {
+        if (const auto* complete = std::get_if<job_completed>(&outcome)) {
             log_event("answer " + job + " complete");
             ++complete_answers_;
             facts.complete = true;
--- a/tests/load_simulation.h
+++ b/tests/load_simulation.h
@@ -147,7 +147,7 @@
     static constexpr milliseconds drain{6000};
     static constexpr milliseconds tick_interval{20};
     static constexpr milliseconds backend_step{2};
-    static constexpr double stretch = 1.6;
+    static constexpr double max_stretch = 1.6;
     static constexpr milliseconds slack{60};
     // A caller waits for three times its objective plus this time.
     static constexpr milliseconds extra_caller_timeout{1500};
@@ -214,7 +214,7 @@
             queue.service = "service";
             queue.max_attempts = 3;
             queue.priority = kind.priority;
-            queue.stretch = stretch;
+            queue.max_stretch = max_stretch;
             queue.slack = slack;
             config->queues.push_back(queue);
         }
@@ -452,7 +452,7 @@
                 agent->backend.set_work({request.job, 0, 0, i}, task_work);
         }
         const milliseconds objective{
-            static_cast<std::int64_t>(stretch * static_cast<double>(longest.count())) + slack.count()};
+            static_cast<std::int64_t>(max_stretch * static_cast<double>(longest.count())) + slack.count()};
         const milliseconds caller_timeout = 3 * objective + extra_caller_timeout;
         request.answer_by = now_ + caller_timeout;
         ++outcomes_[kind.queue].jobs;
--- a/tests/metrics_test.cpp
+++ b/tests/metrics_test.cpp
@@ -21,7 +21,7 @@
     metrics.wasted_messages.add(kind_of(control_message{view_ping{}}));
     metrics.tasks.add(task_status::not_started);
     metrics.jobs.add(label_of(job_failed{failure_reason::cancelled, {}, 0, false}));
-    metrics.jobs.add(label_of(job_complete{}));
+    metrics.jobs.add(label_of(job_completed{}));
     metrics.refusals.add(refusal::zone_out);
     metrics.waiting_tasks.set(7);
     const std::string text = metrics.prometheus_text();
--- a/tests/platform_codec_test.cpp
+++ b/tests/platform_codec_test.cpp
@@ -279,7 +279,7 @@
     ASSERT_EQ(config->queues.size(), 1U);
     EXPECT_EQ(config->queues[0].max_attempts, 3U);
     EXPECT_EQ(config->queues[0].priority, 2U);
-    EXPECT_DOUBLE_EQ(config->queues[0].stretch, 1.6);
+    EXPECT_DOUBLE_EQ(config->queues[0].max_stretch, 1.6);
     EXPECT_EQ(config->queues[0].slack, std::chrono::milliseconds{60});
 }
 
