--- a/daemon/agent_daemon.cpp
+++ b/daemon/agent_daemon.cpp
@@ -46,9 +46,9 @@
         return false;
     for (task_message_to_entry& earlier : all.sends) {
         auto* reports = std::get_if<task_reports>(&earlier.message);
-        const bool same = reports != nullptr && earlier.to == send.to && reports->job == added->job &&
-                          reports->epoch == added->epoch;
-        if (!same)
+        const bool is_same_job = reports != nullptr && earlier.to == send.to && reports->job == added->job &&
+                                 reports->epoch == added->epoch;
+        if (!is_same_job)
             continue;
         reports->load = added->load;
         reports->reports.insert(reports->reports.end(), added->reports.begin(), added->reports.end());
@@ -57,7 +57,7 @@
     return false;
 }
 
-void append(agent_actions& all, agent_actions next) {
+void append_actions(agent_actions& all, agent_actions next) {
     all.calls.insert(all.calls.end(), std::make_move_iterator(next.calls.begin()),
                      std::make_move_iterator(next.calls.end()));
     for (task_message_to_entry& send : next.sends) {
@@ -86,7 +86,7 @@
                   open_session(session);
               }} {
     backends_ = std::make_unique<backend_client>(
-        clock_, [this](const std::vector<backend_client::ended_call>& ended) { calls_ended(ended); });
+        clock_, [this](const std::vector<backend_client::ended_call>& ended) { process_ended_calls(ended); });
     http_limits limits;
     limits.max_body_bytes = max_announcement_bytes;
     limits.max_connections = 256;
@@ -94,7 +94,7 @@
                                           [this](const http_request& request, const http_responder& respond) {
                                               handle_http(request, respond);
                                           });
-    redial();
+    update_dialed_addresses();
     asio::post(control_, [this] { schedule_tick(); });
     log_event(log_level::info, component, "started", {{"name", self_.name}, {"http", http_->address()}});
 }
@@ -104,38 +104,38 @@
 }
 
 void agent_daemon::begin_shutdown() {
-    draining_ = true;
+    is_draining_ = true;
     log_event(log_level::info, component, "graceful shutdown started");
-    apply([&](agent_task_table& tasks) { return tasks.drain(clock_.now()); });
+    apply_event([&](agent_task_table& tasks) { return tasks.drain(clock_.now()); });
     send_status();
 }
 
 bool agent_daemon::is_drained() {
-    if (!draining_)
+    if (!is_draining_)
         return false;
     {
         const std::lock_guard lock{tasks_mutex_};
         if (tasks_.running() > 0)
             return false;
     }
-    if (performing_ > 0)
+    if (events_in_progress_ > 0)
         return false;
     // The connections close gracefully, so that the owners receive the last results before the process exits.
-    if (!closing_.exchange(true)) {
+    if (!is_closing_.exchange(true)) {
         dialer_.stop();
-        entries_.send_to_all(parting());
+        entries_.send_to_all(departure());
         entries_.close_gracefully();
     }
     return entries_.connected().empty();
 }
 
-agent_departure agent_daemon::parting() const {
+agent_departure agent_daemon::departure() const {
     const std::lock_guard lock{tasks_mutex_};
     return {self_, tasks_.known_job_hashes()};
 }
 
 void agent_daemon::stop() {
-    if (std::exchange(stopped_, true))
+    if (std::exchange(is_stopped_, true))
         return;
     http_->stop();
     backends_->stop();
@@ -146,7 +146,7 @@
 void agent_daemon::open_session(const std::shared_ptr<peer_session>& session) {
     session->connection->start(
         [this, session](frame_kind kind, std::string_view payload) { receive(session, kind, payload); },
-        [this, session](const std::string&) { closed(session); });
+        [this, session](const std::string&) { connection_closed(session); });
     agent_status status;
     {
         const std::lock_guard lock{tasks_mutex_};
@@ -155,7 +155,7 @@
     send_control(*session->connection, status);
 }
 
-void agent_daemon::closed(const std::shared_ptr<peer_session>& session) {
+void agent_daemon::connection_closed(const std::shared_ptr<peer_session>& session) {
     entries_.remove(session->connection.get());
     dialer_.lost(session->address);
 }
@@ -174,31 +174,31 @@
     const incarnation& owner = *session.entry;
     const time_point now = clock_.now();
     if (const auto* work = std::get_if<dispatch>(&message))
-        apply([&](agent_task_table& tasks) { return tasks.dispatched(owner, *work, now); });
-    else if (const auto* withdrawn = std::get_if<revoke>(&message))
-        apply([&](agent_task_table& tasks) { return tasks.revoked(owner, *withdrawn, now); });
+        apply_event([&](agent_task_table& tasks) { return tasks.dispatched(owner, *work, now); });
+    else if (const auto* revocation = std::get_if<revoke>(&message))
+        apply_event([&](agent_task_table& tasks) { return tasks.revoked(owner, *revocation, now); });
     else if (const auto* query = std::get_if<query_job>(&message))
-        apply([&](agent_task_table& tasks) { return tasks.queried(owner, *query, now); });
+        apply_event([&](agent_task_table& tasks) { return tasks.queried(owner, *query, now); });
 }
 
-template <typename Event> void agent_daemon::apply(Event event) {
-    ++performing_;
+template <typename Event> void agent_daemon::apply_event(Event event) {
+    ++events_in_progress_;
     agent_actions actions;
     {
         const std::lock_guard lock{tasks_mutex_};
         actions = event(tasks_);
     }
     perform(std::move(actions));
-    --performing_;
+    --events_in_progress_;
 }
 
-void agent_daemon::calls_ended(const std::vector<backend_client::ended_call>& ended) {
+void agent_daemon::process_ended_calls(const std::vector<backend_client::ended_call>& ended) {
     for (const auto& [call, result] : ended)
         end_spans(call, result);
-    apply([&](agent_task_table& tasks) {
+    apply_event([&](agent_task_table& tasks) {
         agent_actions all;
         for (const auto& [call, result] : ended)
-            append(all, tasks.answered(call.job, call.index, result, clock_.now()));
+            append_actions(all, tasks.answered(call.job, call.index, result, clock_.now()));
         return all;
     });
 }
@@ -214,7 +214,7 @@
         entries_.send(send.to, send.message);
     }
     if (!actions.fetch_from.name.empty())
-        entries_.send(actions.fetch_from, control_message{content_request{0, fleet_.revision()}});
+        entries_.send(actions.fetch_from, control_message{content_request{0, fleet_config_.revision()}});
 }
 
 void agent_daemon::count_reports(const task_reports& reports) {
@@ -238,13 +238,13 @@
     agent.started = call.accepted;
     agent.job = call.job;
     agent.task = call.index;
-    trace_span inner = tracer_.begin(trace_hop::backend_call, agent.context);
-    inner.job = call.job;
-    inner.task = call.index;
-    inner.peer = call.url;
-    call.traceparent = format_traceparent(inner.context);
+    trace_span call_span = tracer_.begin(trace_hop::backend_call, agent.context);
+    call_span.job = call.job;
+    call_span.task = call.index;
+    call_span.peer = call.url;
+    call.traceparent = format_traceparent(call_span.context);
     const std::lock_guard lock{spans_mutex_};
-    spans_.insert_or_assign({call.job, call.index}, task_spans{std::move(agent), std::move(inner)});
+    spans_.insert_or_assign({call.job, call.index}, task_spans{std::move(agent), std::move(call_span)});
 }
 
 void agent_daemon::end_spans(const backend_call& call, const backend_result& result) {
@@ -273,32 +273,32 @@
     frame_connection& connection = *session->connection;
     const time_point now = clock_.now();
     if (const auto* hello = std::get_if<entry_hello>(&message)) {
-        entry_introduced(session, *hello);
+        entry_hello_received(session, *hello);
     } else if (const auto* request = std::get_if<grant_request>(&message)) {
         grant_reply reply;
         {
             const std::lock_guard lock{grantor_mutex_};
-            reply = grantor_.request(*request, fleet_.revision(), now);
+            reply = grantor_.request(*request, fleet_config_.revision(), now);
         }
-        reply.revision = fleet_.revision();
+        reply.revision = fleet_config_.revision();
         send_control(connection, reply);
-        if (request->revision > fleet_.revision())
-            send_control(connection, content_request{0, fleet_.revision()});
+        if (request->revision > fleet_config_.revision())
+            send_control(connection, content_request{0, fleet_config_.revision()});
     } else if (const auto* push = std::get_if<table_push>(&message)) {
         table_received(*push, connection);
     } else if (const auto* config = std::get_if<config_push>(&message)) {
         config_received(config->content);
     } else if (const auto* pong = std::get_if<view_pong>(&message)) {
         pong_received(*pong, connection);
-    } else if (const auto* wanted = std::get_if<content_request>(&message)) {
-        if (fleet_.revision() > wanted->known_revision)
-            send_control(connection, fleet_.push());
+    } else if (const auto* requested_content = std::get_if<content_request>(&message)) {
+        if (fleet_config_.revision() > requested_content->known_revision)
+            send_control(connection, fleet_config_.push());
         const std::lock_guard lock{grantor_mutex_};
-        if (grantor_.table().version > wanted->known_version)
+        if (grantor_.table().version > requested_content->known_version)
             send_control(connection, table_push{grantor_.table()});
-    } else if (const auto* question = std::get_if<recovery_request>(&message)) {
+    } else if (const auto* recovery_query = std::get_if<recovery_request>(&message)) {
         const std::lock_guard lock{grantor_mutex_};
-        if (const auto reply = grantor_.answer(*question))
+        if (const auto reply = grantor_.answer(*recovery_query))
             send_control(connection, *reply);
     } else if (const auto* reply = std::get_if<recovery_reply>(&message)) {
         const std::lock_guard lock{grantor_mutex_};
@@ -306,7 +306,8 @@
     }
 }
 
-void agent_daemon::entry_introduced(const std::shared_ptr<peer_session>& session, const entry_hello& hello) {
+void agent_daemon::entry_hello_received(const std::shared_ptr<peer_session>& session,
+                                        const entry_hello& hello) {
     session->entry = hello.entry;
     entries_.add(hello.entry, session->connection);
 }
@@ -321,9 +322,9 @@
     }
     // The task table must refuse stale epochs before the acknowledgement tells the owner that this agent has
     // the new owner table.
-    apply([&](agent_task_table& tasks) { return tasks.set_table(table, clock_.now()); });
+    apply_event([&](agent_task_table& tasks) { return tasks.set_table(table, clock_.now()); });
     send_control(connection, ack);
-    redial();
+    update_dialed_addresses();
 }
 
 void agent_daemon::pong_received(const view_pong& pong, frame_connection& connection) {
@@ -333,25 +334,25 @@
         own_version = grantor_.table().version;
     }
     // The lease of a view that is known to be stale must not be extended.
-    if (pong.version > own_version || pong.revision > fleet_.revision()) {
-        send_control(connection, content_request{own_version, fleet_.revision()});
+    if (pong.version > own_version || pong.revision > fleet_config_.revision()) {
+        send_control(connection, content_request{own_version, fleet_config_.revision()});
         return;
     }
     if (pong.lease_ns <= 0)
         return;
-    if (pong.is_agent_recorded && !recorded_.exchange(true))
-        apply([&](agent_task_table& tasks) { return tasks.mark_agent_recorded(clock_.now()); });
+    if (pong.is_agent_recorded && !is_recorded_.exchange(true))
+        apply_event([&](agent_task_table& tasks) { return tasks.mark_agent_recorded(clock_.now()); });
     const time_point until{std::chrono::nanoseconds{pong.sent_ns + pong.lease_ns}};
-    apply([&](agent_task_table& tasks) { return tasks.extend_lease(until, clock_.now()); });
+    apply_event([&](agent_task_table& tasks) { return tasks.extend_lease(until, clock_.now()); });
 }
 
 void agent_daemon::config_received(const std::string& content) {
-    const auto view = fleet_.update_if_newer(content);
+    const auto view = fleet_config_.update_if_newer(content);
     if (!view)
         return;
     log_event(log_level::info, component, "configuration in use", {{"revision", view->revision}});
     metrics_.configuration_revision.set(static_cast<std::int64_t>(view->revision));
-    apply([&](agent_task_table& tasks) { return tasks.set_fleet(view, clock_.now()); });
+    apply_event([&](agent_task_table& tasks) { return tasks.set_fleet(view, clock_.now()); });
     send_status();
 }
 
@@ -364,7 +365,7 @@
     entries_.send_to_all(status);
 }
 
-void agent_daemon::redial() {
+void agent_daemon::update_dialed_addresses() {
     std::set<std::string> addresses{settings_.peers.begin(), settings_.peers.end()};
     {
         const std::lock_guard lock{grantor_mutex_};
@@ -397,32 +398,32 @@
     }
     if (recovery)
         entries_.send_to_all(*recovery);
-    bool status_changed = false;
-    apply([&](agent_task_table& tasks) {
+    bool has_status_changed = false;
+    apply_event([&](agent_task_table& tasks) {
         agent_actions actions = tasks.tick(now);
-        status_changed = tasks.take_status_change();
+        has_status_changed = tasks.take_status_change();
         metrics_.running_tasks.set(static_cast<std::int64_t>(tasks.running()));
         return actions;
     });
-    if (status_changed)
+    if (has_status_changed)
         send_status();
 }
 
 void agent_daemon::handle_http(const http_request& request, const http_responder& respond) {
     if (request.method == "POST" && request.path == "/v1/announce")
-        respond(announce(request.body));
+        respond(handle_announcement(request.body));
     else if (request.method == "GET")
-        respond(observe(request.path));
+        respond(handle_get(request.path));
     else
         respond(text_response(404, "no such resource\n"));
 }
 
-http_response agent_daemon::observe(const std::string& path) const {
+http_response agent_daemon::handle_get(const std::string& path) const {
     if (path == "/healthz")
         return text_response(200, "ok\n");
     if (path == "/readyz") {
-        const bool ready = recorded_ && fleet_.revision() > 0 && !draining_;
-        return ready ? text_response(200, "ready\n") : text_response(503, "not ready\n");
+        const bool is_ready = is_recorded_ && fleet_config_.revision() > 0 && !is_draining_;
+        return is_ready ? text_response(200, "ready\n") : text_response(503, "not ready\n");
     }
     if (path == "/metrics") {
         http_response response = text_response(200, metrics_.prometheus_text());
@@ -432,7 +433,7 @@
     return text_response(404, "no such resource\n");
 }
 
-http_response agent_daemon::announce(const std::string& body) {
+http_response agent_daemon::handle_announcement(const std::string& body) {
     const auto parsed = parse_announcement(body);
     if (const auto* problems = std::get_if<request_findings>(&parsed)) {
         job_response problem = make_findings_response(400, "Invalid announcement", *problems);
@@ -444,12 +445,12 @@
     }
     const auto& announced = std::get<announcement>(parsed);
     backends_->set_connection_limit(announced.connections);
-    bool changed = false;
-    apply([&](agent_task_table& tasks) {
-        changed = tasks.announced(announced, clock_.now());
+    bool has_changed = false;
+    apply_event([&](agent_task_table& tasks) {
+        has_changed = tasks.announced(announced, clock_.now());
         return agent_actions{};
     });
-    if (changed)
+    if (has_changed)
         send_status();
     return text_response(204, {});
 }
--- a/daemon/agent_daemon.h
+++ b/daemon/agent_daemon.h
@@ -50,35 +50,35 @@
     void receive(const std::shared_ptr<peer_session>& session, frame_kind kind, std::string_view payload);
     void receive_task(const peer_session& session, const task_message& message);
     void receive_control(const std::shared_ptr<peer_session>& session, const control_message& message);
-    void entry_introduced(const std::shared_ptr<peer_session>& session, const entry_hello& hello);
+    void entry_hello_received(const std::shared_ptr<peer_session>& session, const entry_hello& hello);
     void table_received(const table_push& push, frame_connection& connection);
     void pong_received(const view_pong& pong, frame_connection& connection);
     void config_received(const std::string& content);
-    void closed(const std::shared_ptr<peer_session>& session);
+    void connection_closed(const std::shared_ptr<peer_session>& session);
 
     // Applies one event to the task table under its lock and performs the resulting actions.
-    template <typename Event> void apply(Event event);
-    void calls_ended(const std::vector<backend_client::ended_call>& ended);
+    template <typename Event> void apply_event(Event event);
+    void process_ended_calls(const std::vector<backend_client::ended_call>& ended);
     void perform(agent_actions actions);
     void count_reports(const task_reports& reports);
     void begin_spans(backend_call& call);
     void end_spans(const backend_call& call, const backend_result& result);
-    agent_departure parting() const;
+    agent_departure departure() const;
     void send_status();
-    void redial();
+    void update_dialed_addresses();
     void schedule_tick();
     void tick();
 
     void handle_http(const http_request& request, const http_responder& respond);
-    http_response observe(const std::string& path) const;
-    http_response announce(const std::string& body);
+    http_response handle_get(const std::string& path) const;
+    http_response handle_announcement(const std::string& body);
 
     daemon_settings settings_;
     const clock_source& clock_;
     incarnation self_;
     daemon_metrics metrics_;
     tracer tracer_;
-    latest_fleet_config fleet_;
+    latest_fleet_config fleet_config_;
     entry_links entries_;
     mutable std::mutex tasks_mutex_;
     agent_task_table tasks_;
@@ -98,12 +98,12 @@
     std::mutex spans_mutex_;
     std::map<std::pair<job_id, task_index>, task_spans> spans_;
     time_point last_ping_{};
-    std::atomic<bool> draining_{false};
-    std::atomic<bool> closing_{false};
-    std::atomic<bool> recorded_{false};
+    std::atomic<bool> is_draining_{false};
+    std::atomic<bool> is_closing_{false};
+    std::atomic<bool> is_recorded_{false};
     // Number of events whose actions are being performed.
-    std::atomic<int> performing_{0};
-    bool stopped_ = false;
+    std::atomic<int> events_in_progress_{0};
+    bool is_stopped_ = false;
 };
 
 } // namespace persimmonstile
--- a/daemon/agent_metrics.h
+++ b/daemon/agent_metrics.h
@@ -25,13 +25,13 @@
     // The body of GET /metrics.
     std::string prometheus_text() const { return registry_.prometheus_text(); }
 
-    void decided(std::string_view what) { decisions_.add({what}); }
+    void record_decision(std::string_view what) { decisions_.add({what}); }
     // Records the result of an order. kind is the index of its alternative in backend_order::action.
-    void ordered(std::size_t kind, backend_verdict verdict, std::chrono::nanoseconds elapsed);
-    void ended(run_state state) { ends_.add({to_string(state)}); }
+    void record_order(std::size_t kind, backend_verdict verdict, std::chrono::nanoseconds elapsed);
+    void record_run_end(run_state state) { run_ends_.add({to_string(state)}); }
     store_call_metrics& store_calls() { return store_calls_; }
     // Sets the gauges to the present state of the agent.
-    void observe(const agent_core& core);
+    void update_gauges(const agent_core& core);
 
 private:
     metric_registry registry_;
@@ -40,14 +40,15 @@
     text_counter_family orders_{"persimmonstile_backend_orders_total",
                                 "Orders to the backend server by kind and result.",
                                 {"kind", "result"}};
-    text_counter_family ends_{"persimmonstile_run_ends_total", "Ended runs by state.", {"state"}};
-    duration_histogram start_{"persimmonstile_start_order_seconds",
-                              "Time from a start order to the backend server's answer."};
-    gauge active_{"persimmonstile_active_runs", "Runs that take room on the backend server."};
-    gauge queued_{"persimmonstile_queued_runs", "Runs that wait for room on the backend server."};
-    gauge entries_{"persimmonstile_entries_connected", "Connected entries."};
-    gauge token_{"persimmonstile_fencing_token", "Fencing token of the orders to the backend server."};
-    gauge life_{"persimmonstile_backend_life", "Life of the backend server; 0 while none is known."};
+    text_counter_family run_ends_{"persimmonstile_run_ends_total", "Ended runs by state.", {"state"}};
+    duration_histogram start_order_time_{"persimmonstile_start_order_seconds",
+                                         "Time from a start order to the backend server's answer."};
+    gauge active_runs_{"persimmonstile_active_runs", "Runs that take room on the backend server."};
+    gauge queued_runs_{"persimmonstile_queued_runs", "Runs that wait for room on the backend server."};
+    gauge connected_entries_{"persimmonstile_entries_connected", "Connected entries."};
+    gauge fencing_token_{"persimmonstile_fencing_token",
+                         "Fencing token of the orders to the backend server."};
+    gauge backend_life_{"persimmonstile_backend_life", "Life of the backend server; 0 while none is known."};
     store_call_metrics store_calls_;
 };
 
--- a/daemon/agent_hub.h
+++ b/daemon/agent_registry.h
@@ -18,9 +18,9 @@
 
 // Registry of the agents that an entry knows: the newest connection of each, and since when the others have
 // been disconnected. Thread-safe. It calls back no other component, so it may be used under any lock.
-class agent_hub {
+class agent_registry {
 public:
-    explicit agent_hub(const clock_source& clock);
+    explicit agent_registry(const clock_source& clock);
 
     // Registers the connection as the agent's newest. replaced lists the other incarnations of the same name,
     // which have ended. is_new is false if the connection was already registered.
@@ -31,14 +31,14 @@
     registration connected(const agent_status& status, const std::shared_ptr<frame_connection>& connection);
 
     // Removes a closed connection. Returns its agent if it was the agent's newest connection.
-    std::optional<incarnation> disconnected(const frame_connection* connection);
+    std::optional<incarnation> unregister_connection(const frame_connection* connection);
 
     // Starts the loss timeout of those agents that are not connected. Returns those of which another
     // incarnation is connected.
-    std::vector<incarnation> expect(const std::vector<incarnation>& agents);
+    std::vector<incarnation> start_loss_timeouts(const std::vector<incarnation>& agents);
 
     // Returns the agents that have been disconnected for at least agent_loss_timeout, each once.
-    std::vector<incarnation> take_lost();
+    std::vector<incarnation> take_lost_agents();
 
     // Sends to the agent's newest connection. Returns false if there is none.
     bool send(const incarnation& agent, const task_message& message);
@@ -60,7 +60,7 @@
     const clock_source& clock_;
     mutable std::mutex mutex_;
     std::map<incarnation, agent_link> links_;
-    std::map<incarnation, time_point> away_since_;
+    std::map<incarnation, time_point> disconnected_since_;
 };
 
 } // namespace persimmonstile
--- a/daemon/durable_agent.h
+++ b/daemon/durable_agent.h
@@ -2,7 +2,7 @@
 
 #include "coordination/agent_core.h"
 #include "daemon/agent_metrics.h"
-#include "daemon/link_hub.h"
+#include "daemon/peer_links.h"
 #include "daemon/store_router.h"
 #include "protocol/daemon_settings.h"
 #include "state/clock_source.h"
@@ -24,13 +24,13 @@
 class durable_agent {
 public:
     // Calls that leave the process.
-    struct ports {
+    struct external_interfaces {
         order_caller orders;
         store_caller store;
     };
 
     durable_agent(asio::io_context& context, const daemon_settings& settings, const agent_limits& limits,
-                  const clock_source& clock, ports outside);
+                  const clock_source& clock, external_interfaces interfaces);
 
     // The backend server has announced itself, or has deregistered.
     void announced(const backend_announcement& announcement);
@@ -44,26 +44,26 @@
     std::string metrics_text();
 
 private:
-    void run(const std::function<void()>& event);
-    void flush();
-    void schedule();
-    void update_entries();
-    void find_entries();
+    void handle_event(const std::function<void()>& event);
+    void perform_output();
+    void schedule_wakeup();
+    void update_entry_connections();
+    void list_entries();
     void entries_listed(const store_reply& reply);
 
     const clock_source& clock_;
-    ports outside_;
+    external_interfaces interfaces_;
     agent_core core_;
-    link_hub links_;
+    peer_links links_;
     agent_metrics metrics_;
-    asio::steady_timer timer_;
-    time_point timer_due_{};
+    asio::steady_timer wakeup_timer_;
+    time_point wakeup_due_{};
     // Entry addresses from the settings and the store. They are dialed while agent_core knows no entry
     // addresses.
     std::set<std::string> known_addresses_;
-    std::set<std::string> dialed_;
+    std::set<std::string> dialed_addresses_;
     // True while agent_core knows no entry addresses.
-    bool is_searching_ = true;
+    bool has_no_entry_addresses_ = true;
     bool is_listing_ = false;
     time_point next_listing_{};
     bool is_stopped_ = false;
--- a/daemon/durable_entry.cpp
+++ b/daemon/durable_entry.cpp
@@ -185,7 +185,7 @@
     if (addresses == dialed_addresses_)
         return;
     dialed_addresses_ = addresses;
-    links_.set_dialed(addresses);
+    links_.set_dialed_addresses(addresses);
 }
 
 caller_token durable_entry::submit(job_submission request, reply_handler on_reply) {
@@ -213,9 +213,9 @@
     handle_event([&] { core_.cancel(token, job, answer_by, clock_.now(), clock_.wall_now()); });
 }
 
-void durable_entry::begin_shutdown(milliseconds refuse_after, milliseconds hand_over_after) {
+void durable_entry::begin_shutdown(milliseconds refuse_after, milliseconds hand_over_delay) {
     const time_point now = clock_.now();
-    handle_event([&] { core_.begin_shutdown(now + refuse_after, now + hand_over_after, now); });
+    handle_event([&] { core_.begin_shutdown(now + refuse_after, now + hand_over_delay, now); });
 }
 
 void durable_entry::answer_waiting_callers() {
--- a/daemon/durable_entry.h
+++ b/daemon/durable_entry.h
@@ -4,7 +4,7 @@
 #include "coordination/entry_core.h"
 #include "coordination/overload_detector.h"
 #include "daemon/entry_metrics.h"
-#include "daemon/link_hub.h"
+#include "daemon/peer_links.h"
 #include "daemon/store_router.h"
 #include "protocol/daemon_settings.h"
 #include "state/clock_source.h"
@@ -66,9 +66,9 @@
     // The current metrics in the Prometheus text format.
     std::string metrics_text();
 
-    // Refuses new jobs once refuse_after has passed, and hands over the open jobs once hand_over_after has
+    // Refuses new jobs once refuse_after has passed, and hands over the open jobs once hand_over_delay has
     // passed.
-    void begin_shutdown(milliseconds refuse_after, milliseconds hand_over_after);
+    void begin_shutdown(milliseconds refuse_after, milliseconds hand_over_delay);
     // Answers all waiting callers. Called when the process is about to exit.
     void answer_waiting_callers();
     bool is_drained() const { return core_.has_left() && open_requests_.empty(); }
@@ -88,7 +88,7 @@
     const clock_source& clock_;
     external_interfaces interfaces_;
     entry_core core_;
-    link_hub links_;
+    peer_links links_;
     store_router store_;
     asio::steady_timer wakeup_timer_;
     time_point wakeup_due_{};
--- a/daemon/entry_daemon.cpp
+++ b/daemon/entry_daemon.cpp
@@ -211,7 +211,7 @@
     if (const auto entry = entries_.remove(connection))
         request_router_.entry_disconnected(*entry);
     asio::post(control_, [this, keep = session->connection] {
-        if (const auto agent = agents_.disconnected(keep.get())) {
+        if (const auto agent = agents_.unregister_connection(keep.get())) {
             engine_.agent_disconnected(*agent);
             perform(ownership_.agent_disconnected(*agent, clock_.now()));
         }
@@ -220,7 +220,7 @@
 
 void entry_daemon::agent_status_received(const agent_status& status,
                                          const std::shared_ptr<frame_connection>& connection) {
-    const agent_hub::registration registered = agents_.connected(status, connection);
+    const agent_registry::registration registered = agents_.connected(status, connection);
     for (const incarnation& old : registered.replaced) {
         log_event(log_level::info, component, "agent restarted", {{"agent", old.name}});
         engine_.agent_gone(old);
@@ -292,7 +292,7 @@
             engine_.process_handover(handover->second);
             handovers_.erase(handover);
         }
-        for (const incarnation& gone : agents_.expect(gained.previous_agents))
+        for (const incarnation& gone : agents_.start_loss_timeouts(gained.previous_agents))
             engine_.agent_gone(gone);
     }
     engine_.set_lease(clock_.now() + ownership_.lease_left(clock_.now()));
@@ -384,7 +384,7 @@
 
 void entry_daemon::tick() {
     perform(ownership_.tick(clock_.now()));
-    for (const incarnation& lost : agents_.take_lost()) {
+    for (const incarnation& lost : agents_.take_lost_agents()) {
         log_event(log_level::warn, component, "agent lost", {{"agent", lost.name}});
         engine_.agent_gone(lost);
     }
--- a/daemon/entry_daemon.h
+++ b/daemon/entry_daemon.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "coordination/ownership.h"
-#include "daemon/agent_hub.h"
+#include "daemon/agent_registry.h"
 #include "daemon/entry_api.h"
 #include "daemon/entry_links.h"
 #include "daemon/job_engine.h"
@@ -84,7 +84,7 @@
     tracer tracer_;
     event_journal journal_;
     latest_fleet_config fleet_config_;
-    agent_hub agents_;
+    agent_registry agents_;
     entry_links entries_;
     job_engine engine_;
     request_router request_router_;
--- a/daemon/job_engine.cpp
+++ b/daemon/job_engine.cpp
@@ -7,8 +7,9 @@
 
 namespace persimmonstile {
 
-job_engine::job_engine(const clock_source& clock, agent_hub& agents, tracer& spans, daemon_metrics& metrics,
-                       event_journal& journal, answer_handler on_answer, handover_handler on_handover)
+job_engine::job_engine(const clock_source& clock, agent_registry& agents, tracer& spans,
+                       daemon_metrics& metrics, event_journal& journal, answer_handler on_answer,
+                       handover_handler on_handover)
     : clock_{clock}
     , agents_{agents}
     , tracer_{spans}
--- a/daemon/job_engine.h
+++ b/daemon/job_engine.h
@@ -2,7 +2,7 @@
 
 #include "coordination/job_table.h"
 #include "coordination/scheduler.h"
-#include "daemon/agent_hub.h"
+#include "daemon/agent_registry.h"
 #include "state/clock_source.h"
 #include "state/fleet_view.h"
 #include "state/limits.h"
@@ -30,7 +30,7 @@
     using answer_handler = std::function<void(const caller_answer&)>;
     using handover_handler = std::function<void(const partition_handover&)>;
 
-    job_engine(const clock_source& clock, agent_hub& agents, tracer& spans, daemon_metrics& metrics,
+    job_engine(const clock_source& clock, agent_registry& agents, tracer& spans, daemon_metrics& metrics,
                event_journal& journal, answer_handler on_answer, handover_handler on_handover);
 
     void gain_partition(const partition_gain& gained);
@@ -82,7 +82,7 @@
     void end_span(const ended_job& ended);
 
     const clock_source& clock_;
-    agent_hub& agents_;
+    agent_registry& agents_;
     tracer& tracer_;
     daemon_metrics& metrics_;
     event_journal& journal_;
--- a/daemon/main.cpp
+++ b/daemon/main.cpp
@@ -24,18 +24,18 @@
 constexpr int exit_usage = 2;
 constexpr std::chrono::milliseconds drain_poll_interval{20};
 // Upper bound on the wait for a slow reader of the log before the process exits.
-constexpr std::chrono::milliseconds last_lines_limit{100};
+constexpr std::chrono::milliseconds log_flush_timeout{100};
 constexpr const char* component = "daemon";
 
 // Runs a daemon until SIGTERM or SIGINT, then shuts it down gracefully. A second signal stops it at once.
 template <typename Daemon> void run(Daemon& daemon, const daemon_settings& settings) {
     asio::io_context context;
     asio::signal_set signals{context, SIGTERM, SIGINT};
-    asio::steady_timer poll{context};
-    asio::steady_timer limit{context};
+    asio::steady_timer drain_poll_timer{context};
+    asio::steady_timer shutdown_timer{context};
     const std::function<void()> wait_until_drained = [&] {
-        poll.expires_after(drain_poll_interval);
-        poll.async_wait([&](asio::error_code error) {
+        drain_poll_timer.expires_after(drain_poll_interval);
+        drain_poll_timer.async_wait([&](asio::error_code error) {
             if (error)
                 return;
             if (daemon.is_drained())
@@ -46,8 +46,8 @@
     };
     signals.async_wait([&](asio::error_code, int) {
         daemon.begin_shutdown();
-        limit.expires_after(std::chrono::milliseconds{settings.shutdown_timeout_ms});
-        limit.async_wait([&](asio::error_code error) {
+        shutdown_timer.expires_after(std::chrono::milliseconds{settings.shutdown_timeout_ms});
+        shutdown_timer.async_wait([&](asio::error_code error) {
             if (error)
                 return;
             log_event(log_level::warn, component, "graceful shutdown timed out");
@@ -72,7 +72,7 @@
             platform::run_agent(settings, settings_path);
         // The logging library joins its worker threads when static objects are destroyed. This has taken
         // longer than the platform's grace period, so the destructors of static objects are skipped.
-        flush_log(last_lines_limit);
+        flush_log(log_flush_timeout);
         std::quick_exit(exit_done);
     }
     if (settings.role == daemon_role::entry) {
@@ -82,7 +82,7 @@
         agent_daemon daemon{settings, clock};
         run(daemon, settings);
     }
-    flush_log(last_lines_limit);
+    flush_log(log_flush_timeout);
     return exit_done;
 }
 
--- a/daemon/link_hub.cpp
+++ b/daemon/peer_links.cpp
@@ -1,4 +1,4 @@
-#include "daemon/link_hub.h"
+#include "daemon/peer_links.h"
 
 #include "protocol/ip_endpoint.h"
 #include "protocol/work_codec.h"
@@ -16,7 +16,7 @@
 
 } // namespace
 
-link_hub::link_hub(asio::io_context& context, const clock_source& clock, handlers on_event)
+peer_links::peer_links(asio::io_context& context, const clock_source& clock, handlers on_event)
     : context_{context}
     , clock_{clock}
     , on_event_{std::move(on_event)}
@@ -25,7 +25,7 @@
                   open(connection, address);
               }} {}
 
-void link_hub::listen(const std::string& address) {
+void peer_links::listen(const std::string& address) {
     const std::optional<ip_endpoint> endpoint = parse_ip_endpoint(address);
     if (!endpoint)
         throw std::invalid_argument("not an ip:port address: " + address);
@@ -35,23 +35,24 @@
     listener_->start();
 }
 
-void link_hub::set_dialed(std::set<std::string> addresses) {
-    wanted_ = std::move(addresses);
-    dial();
+void peer_links::set_dialed_addresses(std::set<std::string> addresses) {
+    requested_addresses_ = std::move(addresses);
+    update_dialer();
 }
 
 // An address that is requested again is not dialed while its previous connection is open.
-void link_hub::dial() {
-    std::set<std::string> addresses = wanted_;
+void peer_links::update_dialer() {
+    std::set<std::string> addresses = requested_addresses_;
     for (const auto& [link, open] : links_) {
-        if (!dialed_.contains(open.dialed_address))
+        if (!dialed_addresses_.contains(open.dialed_address))
             addresses.erase(open.dialed_address);
     }
-    dialed_ = addresses;
+    dialed_addresses_ = addresses;
     dialer_.set_addresses(addresses);
 }
 
-void link_hub::open(const std::shared_ptr<frame_connection>& connection, const std::string& dialed_address) {
+void peer_links::open(const std::shared_ptr<frame_connection>& connection,
+                      const std::string& dialed_address) {
     const link_number link = ++last_link_;
     links_[link] = {connection, dialed_address};
     connection->start(
@@ -70,18 +71,18 @@
     on_event_.opened(link, !dialed_address.empty());
 }
 
-void link_hub::closed(link_number link, const std::string& reason) {
+void peer_links::closed(link_number link, const std::string& reason) {
     log_event(log_level::info, component, "connection closed", {{"link", link}, {"reason", reason}});
     const std::string address = links_[link].dialed_address;
     links_.erase(link);
-    if (dialed_.contains(address))
+    if (dialed_addresses_.contains(address))
         dialer_.lost(address);
     else
-        dial();
+        update_dialer();
     on_event_.closed(link);
 }
 
-void link_hub::send(link_number link, const work_message& message) {
+void peer_links::send(link_number link, const work_message& message) {
     const auto found = links_.find(link);
     if (found == links_.end())
         return;
@@ -90,14 +91,14 @@
     found->second.connection->send(frame_kind::work, bytes);
 }
 
-void link_hub::close(link_number link, const std::string& reason) {
+void peer_links::close(link_number link, const std::string& reason) {
     const auto found = links_.find(link);
     if (found != links_.end())
         found->second.connection->close(reason);
 }
 
-void link_hub::stop() {
-    wanted_.clear();
+void peer_links::stop() {
+    requested_addresses_.clear();
     if (listener_)
         listener_->stop();
     dialer_.stop();
--- a/daemon/link_hub.h
+++ b/daemon/peer_links.h
@@ -19,7 +19,7 @@
 
 // Sends and receives work messages over a daemon's connections to its peers, and numbers these connections.
 // All calls are made on the thread that runs the context.
-class link_hub {
+class peer_links {
 public:
     // Called on the thread that runs the context.
     struct handlers {
@@ -28,13 +28,13 @@
         std::function<void(link_number link, const work_message& message)> received;
     };
 
-    link_hub(asio::io_context& context, const clock_source& clock, handlers on_event);
+    peer_links(asio::io_context& context, const clock_source& clock, handlers on_event);
 
     // Accepts connections at "ip:port". Throws std::system_error if the address cannot be bound.
     void listen(const std::string& address);
     // Maintains a connection to each of these addresses. Connections to other addresses stay open until they
     // are lost.
-    void set_dialed(std::set<std::string> addresses);
+    void set_dialed_addresses(std::set<std::string> addresses);
 
     // A message to a closed link is dropped. The peer learns what it missed when it connects again.
     void send(link_number link, const work_message& message);
@@ -47,7 +47,7 @@
 private:
     void open(const std::shared_ptr<frame_connection>& connection, const std::string& dialed_address);
     void closed(link_number link, const std::string& reason);
-    void dial();
+    void update_dialer();
 
     asio::io_context& context_;
     const clock_source& clock_;
@@ -61,9 +61,9 @@
         std::string dialed_address;
     };
     std::map<link_number, open_link> links_;
-    std::set<std::string> wanted_;
+    std::set<std::string> requested_addresses_;
     // Addresses with a connector, which reconnects when the connection is lost.
-    std::set<std::string> dialed_;
+    std::set<std::string> dialed_addresses_;
     link_number last_link_ = 0;
     std::size_t bytes_sent_ = 0;
 };
--- a/tests/platform_codec_test.cpp
+++ b/tests/platform_codec_test.cpp
@@ -1,8 +1,8 @@
 #include "platform/config_codec.h"
 #include "platform/job_codec.h"
-#include "platform/kv_codec.h"
 #include "platform/order_codec.h"
 #include "platform/registration_codec.h"
+#include "platform/store_codec.h"
 #include "protocol/base64.h"
 #include "protocol/record_codec.h"
 
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-http_answer answer_of(long status, const std::string& body = {}) {
+http_answer make_answer(long status, const std::string& body = {}) {
     http_answer answer;
     answer.status = status;
     answer.body = body;
@@ -26,11 +26,11 @@
 
 // ---- Store ----
 
-TEST(kv_codec, writes_conditions_values_and_removals) {
+TEST(store_codec, writes_conditions_values_and_removals) {
     job_status status;
     status.owner = {"entry", 3};
     const store_write write{{{"a", 0}}, {{"persimmonstile/j/1", status, 77}}, {"b"}};
-    const kv_request request = encode_store_call(write);
+    const store_http_request request = encode_store_call(write);
     EXPECT_EQ(request.method, "POST");
     EXPECT_EQ(request.target, "/kv-txn");
     const json body = json::parse(request.body);
@@ -44,26 +44,26 @@
     EXPECT_EQ(std::get<job_status>(*record).owner, status.owner);
 }
 
-TEST(kv_codec, tells_what_did_nothing_from_what_may_have_been_done) {
+TEST(store_codec, distinguishes_unapplied_from_possibly_applied_writes) {
     const store_call write = store_write{};
     const auto failure = [&](const http_answer& answer) {
         return std::get<store_failure>(decode_store_answer(write, answer)).may_have_applied;
     };
-    EXPECT_FALSE(failure(answer_of(503)));
-    EXPECT_FALSE(failure(answer_of(429)));
-    EXPECT_TRUE(failure(answer_of(500)));
+    EXPECT_FALSE(failure(make_answer(503)));
+    EXPECT_FALSE(failure(make_answer(429)));
+    EXPECT_TRUE(failure(make_answer(500)));
     http_answer unsent;
     EXPECT_FALSE(failure(unsent));
     http_answer unanswered;
     unanswered.sent = true;
     EXPECT_TRUE(failure(unanswered));
-    EXPECT_TRUE(failure(answer_of(200, "not json")));
+    EXPECT_TRUE(failure(make_answer(200, "not json")));
 }
 
-TEST(kv_codec, reads_a_conflict_with_missing_keys) {
+TEST(store_codec, decodes_a_conflict_with_missing_keys) {
     const store_reply reply = decode_store_answer(
         store_write{},
-        answer_of(412, R"({"items":[{"Key":"a"},{"Key":"op/b","Value":"eA==","Revision":9}]})"));
+        make_answer(412, R"({"items":[{"Key":"a"},{"Key":"op/b","Value":"eA==","Revision":9}]})"));
     const auto& items = std::get<write_conflict>(reply).items;
     ASSERT_EQ(items.size(), 2U);
     EXPECT_EQ(items[0].revision, 0U);
@@ -71,10 +71,10 @@
     EXPECT_EQ(std::get<std::string>(items[1].value), "x");
 }
 
-TEST(kv_codec, reads_changes_and_deletions) {
+TEST(store_codec, reads_changes_and_deletions) {
     const store_reply reply = decode_store_answer(
         store_watch{"op/", 3, 100},
-        answer_of(
+        make_answer(
             200,
             R"({"events":[{"Key":"op/a","Value":"eA==","Revision":4},{"Key":"op/b","Revision":5,"Deleted":true}],"StoreRevision":5})"));
     const auto& changes = std::get<item_changes>(reply);
@@ -84,14 +84,14 @@
     EXPECT_EQ(changes.items[1].revision, 0U);
 }
 
-TEST(kv_codec, tells_a_missing_key_from_a_missing_lease_and_a_lost_history) {
-    EXPECT_TRUE(std::holds_alternative<item_missing>(decode_store_answer(store_read{"a"}, answer_of(404))));
-    EXPECT_TRUE(std::holds_alternative<lease_missing>(decode_store_answer(lease_renew{1}, answer_of(404))));
-    EXPECT_TRUE(std::holds_alternative<lease_missing>(decode_store_answer(store_write{}, answer_of(404))));
-    EXPECT_TRUE(std::holds_alternative<history_lost>(decode_store_answer(store_watch{}, answer_of(410))));
+TEST(store_codec, distinguishes_missing_key_missing_lease_and_lost_history) {
+    EXPECT_TRUE(std::holds_alternative<item_missing>(decode_store_answer(store_read{"a"}, make_answer(404))));
+    EXPECT_TRUE(std::holds_alternative<lease_missing>(decode_store_answer(lease_renew{1}, make_answer(404))));
+    EXPECT_TRUE(std::holds_alternative<lease_missing>(decode_store_answer(store_write{}, make_answer(404))));
+    EXPECT_TRUE(std::holds_alternative<history_lost>(decode_store_answer(store_watch{}, make_answer(410))));
 }
 
-TEST(kv_codec, quotes_keys_in_queries) {
+TEST(store_codec, percent_encodes_keys_in_queries) {
     EXPECT_EQ(encode_store_call(store_read{"a b&c"}).target, "/kv-key?Key=a%20b%26c");
     EXPECT_EQ(encode_store_call(store_watch{"p/", 12, 500}).target,
               "/kv-watch?PathPrefix=p/&After=12&WaitMs=500");
@@ -99,16 +99,16 @@
 }
 
 // Guards against a failure on a value that another system wrote under a key of this project.
-TEST(kv_codec, passes_on_values_that_it_cannot_read) {
+TEST(store_codec, returns_undecodable_values_as_text) {
     const store_reply reply = decode_store_answer(
         store_read{"persimmonstile/x"},
-        answer_of(200, R"({"Key":"persimmonstile/x","Value":"/////w==","Revision":4,"StoreRevision":9})"));
+        make_answer(200, R"({"Key":"persimmonstile/x","Value":"/////w==","Revision":4,"StoreRevision":9})"));
     EXPECT_TRUE(std::holds_alternative<std::string>(std::get<item_found>(reply).item.value));
 }
 
 // ---- Orders ----
 
-TEST(order_codec, names_tasks_and_reads_the_names) {
+TEST(order_codec, formats_and_parses_task_names) {
     const task_ref task{"5c0e7a21d94b36f8", 2, 1, 17};
     EXPECT_EQ(task_name(task), "5c0e7a21d94b36f8.2.1.17");
     ASSERT_TRUE(parse_task_name("5c0e7a21d94b36f8.2.1.17"));
@@ -134,14 +134,15 @@
     EXPECT_FALSE(hold.contains("DeadlineMs"));
 }
 
-TEST(order_codec, reads_the_lists) {
+TEST(order_codec, decodes_running_and_ended_lists) {
     backend_order order;
     order.id = 4;
     order.action = hold_order{};
     const backend_reply reply = decode_order_answer(
         order,
-        answer_of(200,
-                  R"({"ClockMs":482113,"born":1700000000000,"Running":[["5c0e7a21d94b36f8.0.1.17",2,"cp",41]],
+        make_answer(
+            200,
+            R"({"ClockMs":482113,"born":1700000000000,"Running":[["5c0e7a21d94b36f8.0.1.17",2,"cp",41]],
                               "Ended":[[58,"5c0e7a21d94b36f8.0.1.9",1,"failed",""]]})"));
     EXPECT_EQ(reply.id, 4U);
     EXPECT_EQ(reply.verdict, backend_verdict::accepted);
@@ -155,10 +156,10 @@
     EXPECT_EQ(reply.ended[0].number, 58U);
 }
 
-TEST(order_codec, tells_the_reasons_of_refusals_apart) {
+TEST(order_codec, distinguishes_refusal_reasons) {
     backend_order order;
     const auto verdict = [&](long status, const std::string& body) {
-        return decode_order_answer(order, answer_of(status, body)).verdict;
+        return decode_order_answer(order, make_answer(status, body)).verdict;
     };
     EXPECT_EQ(verdict(409, R"({"Reason":"fence"})"), backend_verdict::fenced);
     EXPECT_EQ(verdict(409, R"({"Reason":"old"})"), backend_verdict::old_run);
@@ -176,11 +177,11 @@
 }
 
 // Guards against decisions that are based on partly decoded lists.
-TEST(order_codec, takes_lists_that_cannot_be_read_for_no_answer) {
+TEST(order_codec, treats_malformed_lists_as_no_answer) {
     backend_order order;
     order.action = hold_order{};
     const backend_reply reply = decode_order_answer(
-        order, answer_of(200, R"({"ClockMs":1,"Running":[["5c0e7a21d94b36f8.0.1.17"]]})"));
+        order, make_answer(200, R"({"ClockMs":1,"Running":[["5c0e7a21d94b36f8.0.1.17"]]})"));
     EXPECT_EQ(reply.verdict, backend_verdict::no_answer);
     EXPECT_TRUE(reply.running.empty());
 }
@@ -203,23 +204,23 @@
     EXPECT_EQ(plan->steps[1].required_label, "b");
 }
 
-TEST(job_codec, keeps_a_job_that_does_not_say_otherwise) {
+TEST(job_codec, makes_jobs_durable_by_default) {
     const auto decoded = decode_job(R"({"Steps":[{"Count":1}]})");
     EXPECT_TRUE(std::get<job_plan>(decoded).is_durable);
 }
 
-TEST(job_codec, reports_what_is_wrong_with_a_body) {
+TEST(job_codec, reports_errors_in_a_body) {
     for (const char* body : {"", "[]", "{}", R"({"Steps":[]})", R"({"Steps":[{"Count":0}]})",
                              R"({"Steps":[{"Count":-1}]})", R"({"Steps":[{"Count":1,"After":[0]}]})",
                              R"({"Steps":[{"Count":99999999}]})", R"({"Steps":[{"Count":"x"}]})"}) {
         const auto decoded = decode_job(body);
-        const auto* error = std::get_if<job_error>(&decoded);
+        const auto* error = std::get_if<job_decode_error>(&decoded);
         ASSERT_NE(error, nullptr) << body;
         EXPECT_FALSE(error->detail.empty()) << body;
     }
 }
 
-TEST(job_codec, knows_ids) {
+TEST(job_codec, validates_job_ids) {
     EXPECT_TRUE(is_job_id("5c0e7a21d94b36f8"));
     EXPECT_FALSE(is_job_id("5c0e7a21d94b36f"));
     EXPECT_FALSE(is_job_id("5c0e7a21d94b36fx"));
@@ -283,7 +284,7 @@
     EXPECT_EQ(config->queues[0].slack, std::chrono::milliseconds{60});
 }
 
-TEST(config_codec, never_goes_back_and_survives_damage) {
+TEST(config_codec, rejects_older_versions_and_malformed_records) {
     const auto config =
         decode_operator_records({{"op/config", text_item("op/config", config_text(7), 20)}}, 20, nullptr);
     EXPECT_EQ(decode_operator_records({{"op/config", text_item("op/config", config_text(6), 21)}}, 21,
--- a/tests/standin_wire_test.cpp
+++ b/tests/standin_wire_test.cpp
@@ -1,7 +1,7 @@
 #include "platform/job_codec.h"
-#include "platform/kv_codec.h"
 #include "platform/order_codec.h"
 #include "platform/registration_codec.h"
+#include "platform/store_codec.h"
 #include "standins/caller_wire.h"
 #include "standins/kv_wire.h"
 #include "standins/order_wire.h"
@@ -33,7 +33,7 @@
 }
 
 store_call through_the_wire(const store_call& call) {
-    const platform::kv_request sent = platform::encode_store_call(call);
+    const platform::store_http_request sent = platform::encode_store_call(call);
     const std::optional<store_call> read = decode_kv_request(received(sent.method, sent.target, sent.body));
     EXPECT_TRUE(read);
     return read.value_or(store_call{});
@@ -90,7 +90,7 @@
     order.fencing_token = 5;
     order.lease_until_ms = 700;
     order.action = start_order{run, "payload", "saved"};
-    const platform::order_request sent = platform::encode_order(order);
+    const platform::order_http_request sent = platform::encode_order(order);
     const std::optional<backend_order> read = decode_order_request(received("POST", sent.path, sent.body));
     ASSERT_TRUE(read);
     EXPECT_EQ(read->fencing_token, 5U);
@@ -98,7 +98,7 @@
     EXPECT_EQ(std::get<start_order>(read->action).run, run);
     EXPECT_EQ(std::get<start_order>(read->action).checkpoint, "saved");
     order.action = hold_order{9, milliseconds{60}, false};
-    const platform::order_request hold = platform::encode_order(order);
+    const platform::order_http_request hold = platform::encode_order(order);
     const std::optional<backend_order> read_hold =
         decode_order_request(received("POST", hold.path, hold.body));
     ASSERT_TRUE(read_hold);
