--- a/tests/dispatch_simulation_test.cpp
+++ b/tests/dispatch_simulation_test.cpp
@@ -1,4 +1,4 @@
-#include "dispatch_world.h"
+#include "dispatch_simulation.h"
 
 #include <cstdlib>
 
