--- a/coordination/agent_core.cpp
+++ b/coordination/agent_core.cpp
@@ -50,9 +50,9 @@
     }
 }
 
-// Starts tracking another life of the backend server. No run survives from the previous life, but start
-// orders in flight to it may reach the new one. It is unknown whether their runs started until the lists of
-// the new life are read.
+// Starts tracking another lifetime of the backend server. No run survives from the previous lifetime, but
+// start orders in flight to it may reach the new one. It is unknown whether their runs started until the
+// lists of the new lifetime are read.
 void agent_core::begin_backend_life(const std::string& id, std::uint64_t life, time_point now) {
     if (!backend_.id.empty())
         process_backend_loss(run_refusal::no_backend, true, now);
@@ -101,7 +101,7 @@
         abandoned_runs_.insert(run);
         end_run(*runs_.find(run), run_state::lapsed, reason, now);
     }
-    // Ends of a previous life can no longer be acknowledged, and their owners already have the reports.
+    // Ends of a previous lifetime can no longer be acknowledged, and their owners already have the reports.
     for (const run_ref& run : ended)
         runs_.erase(run);
     is_synchronized_ = false;
--- a/coordination/agent_core.h
+++ b/coordination/agent_core.h
@@ -32,6 +32,8 @@
 public:
     agent_core(incarnation self, std::string zone, const agent_limits& limits, time_point now);
 
+    // The backend server announced its profile. Ignores announcements that are delayed or repeated. A new
+    // lifetime of the backend server resets the state that belongs to the previous one.
     void announced(const backend_announcement& announcement, time_point now);
     // The backend server announced that it shuts down.
     void left(const std::string& backend_id, time_point now);
@@ -110,6 +112,7 @@
     void process_hold_reply(const sent_order& sent, const backend_reply& reply, bool is_raise,
                             time_point now);
     void process_lists(const sent_order& hold, const backend_reply& reply, time_point now);
+    // Ends the run of a listed end, also if this agent did not know the run.
     void process_listed_end(const listed_end& end, time_point now);
     void process_listed_run(const listed_run& listed, std::int64_t clock_ms, time_point now);
     bool is_stalled(const run_record& record, const listed_run& listed, std::int64_t clock_ms) const;
@@ -176,7 +179,7 @@
 
     // The backend server. The id is empty while none is known.
     backend_profile backend_;
-    // The backend server has announced its capacity in this life.
+    // The backend server has announced its capacity in this lifetime.
     bool has_profile_ = false;
     std::uint64_t last_sequence_ = 0;
     backend_clock backend_clock_;
@@ -190,7 +193,7 @@
     bool are_inventories_published_ = false;
     bool is_shutting_down_ = false;
     end_acknowledger end_acknowledger_;
-    // Send time of the latest order that this life answered.
+    // Send time of the latest order that the backend server answered in this lifetime.
     time_point last_reply_{};
     // Highest end number whose acknowledgement the backend server has confirmed.
     std::uint64_t confirmed_end_ = 0;
@@ -213,7 +216,7 @@
     bool is_raise_needed_ = false;
     // Highest end number that was listed.
     std::uint64_t last_listed_end_ = 0;
-    // Number of consecutive hold orders without an answer.
+    // Number of consecutive hold orders whose verdict was neither accepted nor fenced.
     unsigned unanswered_holds_ = 0;
     // Round-trip time of orders that the backend server answers without a wait.
     round_trip_estimate order_round_trip_;
--- a/coordination/agent_orders.cpp
+++ b/coordination/agent_orders.cpp
@@ -321,12 +321,14 @@
     }
     run_record* record = runs_.find(end.run);
     if (record == nullptr) {
+        // The run was unknown to this agent, so its real start times are not known either.
         run_record found;
         found.run = end.run;
         found.state = run_state::running;
         found.started = found.accepted = now;
         record = &runs_.add(std::move(found));
     }
+    // This end was listed and reported before. Its record is kept until the end is acknowledged.
     if (is_final(record->state))
         return;
     record->end_number = end.number;
--- a/coordination/agent_runs.cpp
+++ b/coordination/agent_runs.cpp
@@ -14,7 +14,7 @@
     record_outcome(record, now);
     report(record, now);
     // A listed end is kept until its owner has recorded it in the store. Owners do not record the ends of
-    // best-effort jobs, so those are acknowledged at once.
+    // non-durable jobs, so those are acknowledged at once.
     const bool is_claimed = !record.owner.name.empty();
     if (record.end_number != 0 && (record.is_durable || !is_claimed))
         return;
@@ -23,8 +23,8 @@
     runs_.erase(run_ref{record.run});
 }
 
-// A task that has failed before may itself be faulty, so only the failure of its first run counts against the
-// backend server.
+// A task that needs a further run may itself be faulty, so a failure counts against the backend server only
+// if it is the task's run 1.
 void agent_core::record_outcome(const run_record& record, time_point now) {
     if (record.state == run_state::done) {
         backend_health_.succeeded();
@@ -77,8 +77,9 @@
 }
 
 // Stops runs that have expired or whose owner has been unreachable for too long. A successor that cannot
-// reach this agent relies on that. Ended runs of an owner that stays away lose their owner, so that they are
-// offered to all entries.
+// reach this agent waits for at least owner_contact_lease and the bound of the run lease, and then relies on
+// the runs having ended. Ended runs of an owner that stays away lose their owner, so that they are offered to
+// all entries. Also sends the stop orders of running runs that have to stop and have no stop order yet.
 void agent_core::check_owner_contact(time_point now) {
     std::vector<run_ref> abandoned;
     runs_.for_each([&](run_record& record) {
@@ -87,6 +88,8 @@
             record.owner = {};
         if (is_final(record.state) || record.is_stop_requested)
             return;
+        // A run that the agent found at the backend server has no owner until an entry claims it. The lists
+        // do not say whether it is durable, so caller_contact_lease applies to all unclaimed runs.
         const bool is_claimed = !record.owner.name.empty();
         const bool has_owner =
             is_claimed ? is_owner_present(record.owner, record.is_durable, now)
--- a/coordination/agent_view.h
+++ b/coordination/agent_view.h
@@ -28,13 +28,13 @@
     agent_profile profile;
     // The agent is recorded in the store, so a successor of this entry would query it.
     bool is_recorded = false;
-    // Since it connected, the agent has reported all runs of best-effort jobs (is_introduced) and of durable
+    // Since it connected, the agent has reported all runs of non-durable jobs (is_introduced) and of durable
     // jobs (is_session_introduced).
     bool is_introduced = false;
     bool is_session_introduced = false;
     agent_free_capacity reported_capacity;
-    // Number of start messages sent on this connection, and the resource needs of those that `room` does not
-    // include yet.
+    // Number of start messages sent on this connection, and the resource needs of those that
+    // `reported_capacity` does not include yet.
     std::uint64_t sent_starts = 0;
     std::deque<std::pair<std::uint64_t, resources>> unacknowledged_starts;
     // Runs that this entry sent to the agent and that have not ended, each with the number of its start
--- a/coordination/commit_queue.cpp
+++ b/coordination/commit_queue.cpp
@@ -138,6 +138,7 @@
             send(id, waiting);
     }
     while (!pending_commits_.empty() && batches_.size() < max_writes_in_flight) {
+        // Waits for more commits, so that the next write is fuller.
         if (!batches_.empty() && now - last_batch_sent_at_ < max_batch_delay)
             break;
         batch& next = batches_[++last_id_];
@@ -198,8 +199,9 @@
         results_.push_back({std::move(done), commit_outcome::durable, reply.revision, {}});
 }
 
-// A conflicting write changes nothing. Commits whose conditions failed get a result, and the others go into
-// the next write. If the stored record already is what a commit would write, an earlier attempt was applied.
+// A conflicting write changes nothing. Commits whose conditions failed get a result. The others go into the
+// next write, and so do progress commits for which only the expected revision was stale. If the stored record
+// already is what a commit would write, an earlier attempt was applied.
 bool commit_queue::resolve_conflict(batch& failed_batch, const write_conflict& reply, time_point) {
     const store_item* entry = find_item(reply, entry_key(session_.name));
     if (entry == nullptr || entry->revision != entry_revision_)
--- a/coordination/end_acknowledger.h
+++ b/coordination/end_acknowledger.h
@@ -5,9 +5,9 @@
 
 namespace persimmonstile {
 
-// Computes the highest end number that may be acknowledged to one life of a backend server. A backend server
-// numbers ends from 1 and deletes all up to the acknowledged number, so a number may be acknowledged only if
-// that end and all before it are recorded.
+// Computes the highest end number that may be acknowledged in one lifetime of a backend server. A backend
+// server numbers ends from 1 and deletes all up to the acknowledged number, so a number may be acknowledged
+// only if that end and all before it are recorded.
 class end_acknowledger {
 public:
     // Records that the backend server listed this end. All ends before the first listed one are already
--- a/coordination/entry_agents.cpp
+++ b/coordination/entry_agents.cpp
@@ -160,7 +160,8 @@
     }
 }
 
-// Only the first entry by name queries the store about orphaned runs, since one entry is enough.
+// Of the orphaned runs that agents report to all entries, only the first entry by name queries the store,
+// since one entry is enough.
 bool entry_core::is_first_entry() const {
     return std::all_of(peers_.begin(), peers_.end(),
                        [&](const auto& entry) { return name_ < entry.second.name; });
--- a/coordination/entry_core.h
+++ b/coordination/entry_core.h
@@ -29,8 +29,8 @@
 namespace persimmonstile {
 
 // Makes the decisions of an entry: accepts jobs, places their tasks at agents, records the ends of durable
-// jobs, and adopts the jobs of entries that are gone. Deterministic and without I/O. A durable job is in the
-// store before its caller is told that it is accepted, so it survives its entry. A non-durable job is not
+// jobs, and adopts the jobs of entries that have stopped. Deterministic and without I/O. A durable job is in
+// the store before its caller is told that it is accepted, so it survives its entry. A non-durable job is not
 // stored and lasts only while a caller waits for it.
 class entry_core {
 public:
@@ -201,7 +201,7 @@
     waiting_callers acceptance_waiters_;
     waiting_callers end_waiters_;
     orphan_run_tracker orphans_;
-    // Numbers of the recorded ends of runs to acknowledge, by agent and life of its backend server.
+    // Numbers of the recorded ends of runs to acknowledge, by agent and lifetime of its backend server.
     std::map<std::pair<agent_number, std::uint64_t>, std::vector<std::uint64_t>> acknowledgements_;
 
     std::uint64_t last_store_id_ = 0;
--- a/coordination/entry_sessions.cpp
+++ b/coordination/entry_sessions.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-// Handles the changes that the session keeper reports: a session was begun or lost, other entries have joined
+// Handles the changes that session_manager reports: a session was begun or lost, other entries have joined
 // or left, jobs were adopted.
 void entry_core::update_sessions(time_point now) {
     std::set<incarnation> connected;
@@ -110,7 +110,7 @@
 }
 
 // A session that adopted these jobs and is now adopted itself may have started runs of them. Its adoption has
-// a smaller depth and must be settled before this one. All of them are adopted together.
+// a smaller succession_count and must be settled before this one. All of them are adopted together.
 bool entry_core::can_settle(const adoption_progress& state, time_point now) const {
     const bool is_waiting = std::any_of(successions_.begin(), successions_.end(), [&](const auto& other) {
         return !other.second.is_settled &&
@@ -125,7 +125,7 @@
         adoption_progress& state = it->second;
         if (!state.is_settled && can_settle(state, now)) {
             state.is_settled = true;
-            // Other successions may wait for this one.
+            // Other adoptions may wait for this one.
             is_session_update_needed_ = true;
             record_decision("runs of a former session are settled", {},
                             {{"former", session_text(it->first)},
--- a/coordination/fair_queue.cpp
+++ b/coordination/fair_queue.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // After this many single requests of a team, one task of its waiting jobs is taken. Jobs thus get at least
-// every fifth task, and a flood of requests cannot starve them.
+// every fifth task, however many requests arrive.
 constexpr std::uint32_t requests_per_job_task = 4;
 
 // Middle of the range of job sizes in a class: class k holds jobs of 2^(k-1) to 2^k - 1 tasks.
--- a/coordination/grantor.cpp
+++ b/coordination/grantor.cpp
@@ -113,13 +113,14 @@
         return;
     if (table.version == table_.version)
         bootstrap_table_version_ = table.version;
-    // The first table with grantors arrived before the table without grantors that precedes it.
+    // The tables arrived in reverse order. table_ is the first one with grantors. The argument is the version
+    // before it, which has none.
     else if (table.version + 1 == table_.version && is_named_in_table())
         recovering_ = false;
 }
 
 // Requires replies from a majority of the whole set, not only of the other members. With an even number of
-// grantors, a majority of the others may not overlap the majority that acknowledged a table with one more
+// grantors, a majority of the others might not overlap the majority that acknowledged a table with one more
 // grantor.
 void grantor::check_recovery_majority(time_point now) {
     if (!recovering_)
--- a/coordination/grantor.h
+++ b/coordination/grantor.h
@@ -51,6 +51,8 @@
 private:
     bool is_named_in_table() const;
     void adopt_table(const owner_table& table, time_point now);
+    // Ends the recovery if the first table with grantors directly follows the given one and names this
+    // grantor. Precondition: the given table has no grantors.
     void start_without_recovery(const owner_table& table);
     void check_recovery_majority(time_point now);
     void finish_recovery(time_point now);
--- a/coordination/job_table.h
+++ b/coordination/job_table.h
@@ -36,8 +36,10 @@
     job_actions apply(const assignment& chosen, time_point now, wall_time wall_now);
     job_actions apply(const task_reports& reports, time_point now, wall_time wall_now);
     job_actions apply(const job_report& report, time_point now, wall_time wall_now);
-    // After a reconnect, unanswered dispatches and queries are sent again. If the agent is gone, the results
-    // of its tasks are lost: idempotent requests are retried, other jobs end with an unknown outcome.
+    // After a reconnect, unanswered dispatches and queries are sent again. If the agent is gone after
+    // a planned stop, its tasks of jobs that it did not list are queued again. The results of all its other
+    // tasks are lost: idempotent requests are retried, other jobs end with an unknown outcome. Jobs that wait
+    // for its answer to a query end with an unknown outcome, even if they are idempotent.
     job_actions apply(const agent_presence& presence, time_point now, wall_time wall_now);
     job_actions apply(const partition_gain& gained, time_point now, wall_time wall_now);
     // Drops the partition's jobs and sends their callers to the new owner.
@@ -45,7 +47,7 @@
     // Applies deadlines and the end of the deduplication window. Must be called at least every 50 ms.
     job_actions apply(const clock_tick& tick, time_point now, wall_time wall_now);
     // An agent that stops as planned lists its jobs. It has run no task of any other job, so such jobs need
-    // no answer from it, also after it is gone.
+    // no answer from it, also after it is gone. The list is kept for deduplication_window.
     job_actions apply(const agent_departure& departure, time_point now, wall_time wall_now);
     // Takes over what the former owner knew of the partition, if this shard owns it in the following epoch.
     job_actions apply(const partition_handover& handover, time_point now, wall_time wall_now);
--- a/coordination/key_value_store.h
+++ b/coordination/key_value_store.h
@@ -27,10 +27,11 @@
     { store.wait_for_change(key, revision, timeout) } -> std::same_as<wait_result>;
 };
 
-// Writes with compare_and_swap and retries the same swap if the response is lost. A read could instead return
-// a stale value from a replica. If the first swap took effect, the retry loses the race and returns the
-// current value, in which is_own_write recognizes the operation id. Returns store_unavailable only if no
-// attempt got a response; may_have_applied is then set if any attempt could have taken effect.
+// Writes with compare_and_swap and retries the same swap if the response is lost. It does not read the
+// value back instead, because an outdated replica could return a stale value. If the first swap took effect,
+// the retry loses the race and returns the current value, in which is_own_write recognizes the operation id.
+// Returns store_unavailable only if no attempt got a response; may_have_applied is then set if any attempt
+// could have taken effect.
 template <key_value_store Store, std::predicate<const std::string&> Own_write>
 swap_result swap_with_confirmation(Store& store, const std::string& key, const std::string& value,
                                    store_revision expected, int attempts, const Own_write& is_own_write) {
--- a/coordination/ledger_task.h
+++ b/coordination/ledger_task.h
@@ -30,7 +30,9 @@
     time_point placed{};
     time_point started{};
     std::string checkpoint;
-    // Agents where a run of the task did not succeed. Other agents are preferred.
+    // Agents where a run of the task ended without being done (failed, stopped, lapsed, broken or alone) or
+    // was refused because the backend server is unhealthy. Other refusals do not count. Other agents are
+    // preferred.
     std::vector<agent_number> avoided_agents;
     // The run is being stopped so that the task can run elsewhere.
     bool is_being_moved = false;
--- a/coordination/ownership.cpp
+++ b/coordination/ownership.cpp
@@ -287,7 +287,8 @@
     return own;
 }
 
-// A takeover in progress continues after a newer version for the partitions that the version does not change.
+// Starts the takeover of newly gained partitions. Takeovers in progress go on after a newer table version,
+// but only for the partitions that this version leaves with the same owner and epoch.
 void ownership::start_takeover(const owner_table& previous, const std::map<partition_id, epoch_number>& own) {
     std::map<partition_id, epoch_number> gained = own;
     for (const auto& [partition, epoch] : owned_partitions_)
@@ -298,6 +299,8 @@
             gained.erase(partition);
     }
     std::erase_if(takeovers_, [](const partition_takeover& pending) { return pending.partitions().empty(); });
+    // The owner of partition 0 proposes the changes of the grantor set, so it needs a completed takeover of
+    // every version.
     if (gained.empty() && !own.contains(0))
         return;
     std::vector<std::vector<std::string>> grantor_sets{table_.grantors};
--- a/coordination/round_trip_estimate.h
+++ b/coordination/round_trip_estimate.h
@@ -7,8 +7,8 @@
 
 namespace persimmonstile {
 
-// Estimates the timeout of a call from the mean and deviation of past round-trip times, as TCP does
-// (RFC 6298). The timeout doubles after each missing answer.
+// Estimates the timeout of a call, after which the call is repeated, from the mean and deviation of past
+// round-trip times, as TCP does (RFC 6298). The timeout doubles after each missing answer.
 class round_trip_estimate {
 public:
     round_trip_estimate(milliseconds initial_timeout, milliseconds min_timeout, milliseconds max_timeout)
--- a/coordination/run_planner.cpp
+++ b/coordination/run_planner.cpp
@@ -22,7 +22,8 @@
 // arrives. At full utilization the cost is higher by this fraction.
 constexpr double utilization_weight = 0.3;
 
-// Cost factor of a backend server where this task failed before. It makes that one the last choice.
+// Cost factor of a backend server whose agent is in avoided_agents of this task. It makes that one the last
+// choice.
 constexpr double failed_backend_factor = 4;
 
 // A job ends with its longest task. That task takes about this multiple of the expected run time, because a
--- a/coordination/scheduler.cpp
+++ b/coordination/scheduler.cpp
@@ -392,7 +392,7 @@
     const bool is_overloaded = reason == refusal::queue_full || reason == refusal::declined_by_backend_server;
     backend.health.refused(is_overloaded, static_cast<std::uint32_t>(backend.in_flight.size()), now);
     // A refusal because of an operator's action is no sign of overload, so it does not count against the
-    // retry budget.
+    // retry budget. Its tasks are moved without delay.
     const bool is_planned = reason == refusal::draining || reason == refusal::zone_out;
     if (!record.is_withdrawn && !is_planned)
         ++record.retries;
--- a/coordination/scheduler.h
+++ b/coordination/scheduler.h
@@ -34,7 +34,7 @@
 
 // Holds the waiting tasks of one entry and decides when and where each is sent. It affects only performance
 // and fairness: the job table decides whether a task may be sent at all, so an error here cannot start a task
-// twice. It is deterministic and does no I/O; the caller serialises the calls. docs/placement.md explains the
+// twice. It is deterministic and does no I/O; the caller serializes the calls. docs/placement.md explains the
 // rules and their constants.
 template <placement_policy policy> class basic_scheduler {
 public:
--- a/coordination/session_manager.cpp
+++ b/coordination/session_manager.cpp
@@ -17,8 +17,9 @@
 constexpr milliseconds watch_duration{3000};
 constexpr milliseconds watch_timeout_margin{500};
 
-// Sessions are not adopted for this long after a store outage. Live processes whose liveness keys expired
-// during the outage write them again within about this time.
+// Sessions are not adopted for this long after a store outage, except those whose record is marked as
+// leaving. Live processes whose liveness keys expired during the outage write them again within about this
+// time.
 constexpr milliseconds liveness_return_grace{2000};
 // A liveness key may be missing briefly while its lease is replaced.
 constexpr milliseconds missing_key_grace{300};
--- a/coordination/session_manager.h
+++ b/coordination/session_manager.h
@@ -44,7 +44,8 @@
     void set_connected(std::set<incarnation> sessions) { connected_sessions_ = std::move(sessions); }
 
     void replied(std::uint64_t id, const store_reply& reply, time_point now);
-    // A write failed because this session is deposed. Begins a new session.
+    // Must be called if a write failed because this session is deposed. Also called if the watch shows that
+    // the entry's record names another session or is missing. Begins a new session.
     void deposed(time_point now);
     // Ends the session. If there are no open jobs, the entry's record is removed. Otherwise the
     // record is marked as leaving, so that the other entries adopt the jobs without the usual grace periods.
@@ -53,7 +54,8 @@
 
     // Sets the agents that must be recorded in the store. Those without a record get one.
     void set_needed_agents(const std::vector<agent_record>& agents, time_point now);
-    // True while this session still adopts, or reads the jobs of, a session with a smaller adoption depth.
+    // True while this session still adopts, or reads the jobs of, a session with a smaller
+    // succession_count.
     bool is_adopting_below(std::uint32_t succession_count) const;
     // All jobs of the adopted session have ended. Removes the record of the adoption.
     void end_adoption(const incarnation& former, time_point now);
--- a/coordination/store_keys.h
+++ b/coordination/store_keys.h
@@ -7,7 +7,8 @@
 
 namespace persimmonstile {
 
-// Keys of the records that are used if jobs are durable.
+// Keys of the records in the store of a deployment that accepts durable jobs. Entry, liveness and agent
+// records are written even while no job is durable.
 
 // Prefix of all member records. All entries watch it.
 constexpr const char* member_prefix = "persimmonstile/m/";
--- a/coordination/table_change.cpp
+++ b/coordination/table_change.cpp
@@ -41,6 +41,8 @@
     }
 }
 
+// Moves partitions of the entries that own the most to the joined entry until it has its fair share. Loads
+// are numbers of partitions. Each move raises the epoch of the partition.
 void assign_fair_share(owner_table& table, load_map& loads, const incarnation& joined) {
     const std::size_t fair_share = table.partitions.size() / loads.size();
     std::size_t& own = loads[joined];
