--- a/daemon/agent_daemon.cpp
+++ b/daemon/agent_daemon.cpp
@@ -147,6 +147,7 @@
     session->connection->start(
         [this, session](frame_kind kind, std::string_view payload) { receive(session, kind, payload); },
         [this, session](const std::string&) { connection_closed(session); });
+    // The status is sent first, because it tells the entry which agent the connection belongs to.
     agent_status status;
     {
         const std::lock_guard lock{tasks_mutex_};
--- a/daemon/agent_daemon.h
+++ b/daemon/agent_daemon.h
@@ -26,8 +26,8 @@
 
 namespace persimmonstile {
 
-// An agent process beside one backend server. It runs the tasks that owners dispatch to it, and grants leases
-// to owners. The task table and the grantor have separate locks.
+// An agent process on the same machine as one backend server. It runs the tasks that owners dispatch to it,
+// and grants leases to owners. The task table and the grantor have separate locks.
 class agent_daemon {
 public:
     // Binds the HTTP address. Throws std::exception if it cannot be bound.
--- a/daemon/durable_entry.cpp
+++ b/daemon/durable_entry.cpp
@@ -104,6 +104,7 @@
         call_store(request);
     for (const caller_reply& reply : output.replies) {
         const auto found = open_requests_.find(reply.token);
+        // The caller has left.
         if (found == open_requests_.end())
             continue;
         const open_request request = std::move(found->second);
--- a/daemon/durable_entry.h
+++ b/daemon/durable_entry.h
@@ -28,8 +28,8 @@
     const std::map<std::string, store_item>& records, std::uint64_t revision,
     const deployment_config* previous)>;
 
-// An entry whose jobs are recorded in the store. Connects entry_core, which makes the decisions, to callers,
-// peers, store and clock. Not thread-safe: all work runs on the thread that runs the context.
+// An entry that records its durable jobs in the store. Connects entry_core, which makes the decisions, to
+// callers, peers, store and clock. Not thread-safe: all work runs on the thread that runs the context.
 class durable_entry {
 public:
     using reply_handler = std::function<void(const caller_reply&)>;
@@ -58,7 +58,8 @@
     bool is_ready() const { return core_.is_ready() && !is_overloaded(); }
     bool is_overloaded() const { return overload_.is_overloaded(); }
     // True if the connection should be closed after the answer that is sent now, so that the caller opens a
-    // new one.
+    // new one. If the entry is overloaded, a true result uses up the closing interval: no other connection is
+    // closed during it.
     bool should_close_connection() {
         return core_.is_shutting_down() || shedding_.should_close(is_overloaded(), clock_.now());
     }
@@ -67,10 +68,11 @@
     std::string metrics_text();
 
     // Refuses new jobs once refuse_after has passed, and hands over the open jobs once hand_over_delay has
-    // passed.
+    // passed. Both times count from this call.
     void begin_shutdown(milliseconds refuse_after, milliseconds hand_over_delay);
-    // Answers all waiting callers. Called when the process is about to exit.
+    // Answers all waiting callers with an uncertain outcome. Called when the process is about to exit.
     void answer_waiting_callers();
+    // True once the entry has left its session and all requests are answered or their callers have left.
     bool is_drained() const { return core_.has_left() && open_requests_.empty(); }
     void stop();
 
@@ -91,6 +93,7 @@
     peer_links links_;
     store_router store_;
     asio::steady_timer wakeup_timer_;
+    // When wakeup_timer_ fires. The empty value means that no timer is set.
     time_point wakeup_due_{};
     // Fires at a fixed interval. Its lateness shows how long events wait to be processed.
     asio::steady_timer load_probe_timer_;
--- a/daemon/entry_daemon.cpp
+++ b/daemon/entry_daemon.cpp
@@ -373,6 +373,7 @@
 }
 
 void entry_daemon::schedule_tick() {
+    // tick() runs on the control strand.
     tick_timer_.expires_after(tick_interval);
     tick_timer_.async_wait(asio::bind_executor(control_, [this](asio::error_code error) {
         if (error)
--- a/daemon/entry_metrics.h
+++ b/daemon/entry_metrics.h
@@ -16,7 +16,7 @@
 
 class entry_core;
 
-// Metrics of an entry whose jobs are recorded in the store (durable_entry).
+// Metrics of an entry that records its durable jobs in the store (durable_entry).
 class entry_metrics {
 public:
     entry_metrics();
--- a/state/agent_departure.h
+++ b/state/agent_departure.h
@@ -9,8 +9,9 @@
 namespace persimmonstile {
 
 // Agent to entry, the last message before a planned stop: the hashes of all jobs that the agent has on
-// record. The agent accepts no more tasks, so any job that is not listed never reached it. Without this
-// list, such a job would get an unknown outcome once the agent is gone.
+// record. The agent accepts no more tasks, so any job that is not listed did not reach it within the
+// deduplication_window; older records are deleted. Without this list, such a job would get an unknown
+// outcome once the agent has exited.
 struct agent_departure {
     incarnation agent;
     std::vector<std::uint64_t> jobs;
--- a/state/agent_free_capacity.h
+++ b/state/agent_free_capacity.h
@@ -12,7 +12,8 @@
     resources free;
     // Total needs of the runs that are queued at the agent.
     resources queued;
-    // Number of run_start_request messages from the receiving entry that free and queued include.
+    // Number of start orders (run_start_request) that came from the entry to which this message goes and that
+    // free and queued include.
     std::uint64_t received_starts = 0;
 
     bool operator==(const agent_free_capacity&) const = default;
--- a/state/agent_profile.h
+++ b/state/agent_profile.h
@@ -11,12 +11,13 @@
 namespace persimmonstile {
 
 // Agent to entry, first on each connection and again on every change: identity and state of the agent and of
-// the backend server beside it.
+// the backend server on the same machine.
 struct agent_profile {
     incarnation agent;
     std::string zone;
-    // The agent accepts new runs. It does so while the backend server is serving, the agent knows which runs
-    // the backend server has, and the agent is not shutting down.
+    // The agent accepts new runs. False while the backend server is unknown, unresponsive or shutting down,
+    // the agent does not know which runs the backend server has, the agent is shutting down, or the
+    // availability zone is out of service.
     bool accepts_runs = false;
     // backend.id is empty while no backend server is known.
     backend_profile backend;
--- a/state/entry_welcome.h
+++ b/state/entry_welcome.h
@@ -11,7 +11,7 @@
 // Entry to agent, first on each connection and again on every change: identity of the entry, addresses of all
 // entries and excluded availability zones.
 struct entry_welcome {
-    // Owner of the runs of best-effort jobs.
+    // Owner of the runs of non-durable jobs.
     incarnation process;
     // Owner of the runs of durable jobs. session.number is 0 while the entry has no session.
     incarnation session;
--- a/state/ids.h
+++ b/state/ids.h
@@ -5,21 +5,24 @@
 
 namespace persimmonstile {
 
-// Idempotency key of the caller, 1 to max_job_id_length characters of [A-Za-z0-9._-].
+// Idempotency key of a job, unique for all callers: 1 to max_job_id_length characters of [A-Za-z0-9._-].
 using job_id = std::string;
 
 // Index of a task within its job, or within its step if the job has steps; from 0.
 using task_index = std::uint32_t;
 
-// Number of a partition of the job id space. Each partition has one owner.
+// Number of a partition: the hash of the job id modulo partition_count. Each partition has one owner.
 using partition_id = std::uint16_t;
 
 // Fencing epoch of a partition. It increases by one whenever the partition changes its owner.
 using epoch_number = std::uint64_t;
 
-// Version of the owner table and revision of the fleet configuration. Both increase with each change in the
-// store. 0 means that none is known yet.
+// Version of the owner table. It increases with each change of the table in the store. 0 means that no table
+// is known yet.
 using table_version = std::uint64_t;
+
+// Revision of the fleet configuration. It increases with each change of the configuration in the store. 0
+// means that no configuration is known yet.
 using config_revision = std::uint64_t;
 
 // Identifies one waiting caller within one entry process.
--- a/state/incarnation.h
+++ b/state/incarnation.h
@@ -7,8 +7,9 @@
 
 namespace persimmonstile {
 
-// Identifies one lifetime of a process. A restarted process keeps its name and gets a new number, so messages
-// for an earlier lifetime can be recognized. Numbers are unique; their order has no meaning.
+// Identifies one lifetime of a process, or one session of an entry; an entry can begin several sessions in
+// one process. A restarted process or a new session keeps the name and gets a new number, so messages for an
+// earlier one can be recognized. Numbers are unique; their order has no meaning.
 struct incarnation {
     std::string name;
     std::uint64_t number = 0;
--- a/state/job_outcome.h
+++ b/state/job_outcome.h
@@ -18,7 +18,7 @@
     static constexpr auto members() { return std::make_tuple(&job_completed::answers); }
 };
 
-// A job that ended without the results of all its tasks.
+// A job that ended without the results of all its tasks. This includes canceled and refused jobs.
 struct job_failed {
     failure_reason reason = failure_reason::outcome_unknown;
     std::string detail;
--- a/state/job_plan.h
+++ b/state/job_plan.h
@@ -20,7 +20,7 @@
     std::int64_t first_start_ms = 0;
     std::int64_t interval_ms = 0;
     // The acceptance of a durable job is reported to the caller only after the job is in the store. A
-    // best-effort job lasts only as long as its caller's request, and is lost with the entry that owns it.
+    // non-durable job lasts only as long as its caller's request, and is lost with the entry that owns it.
     bool is_durable = true;
 
     std::uint32_t occurrence_count() const { return repeat_count == 0 ? 1 : repeat_count; }
--- a/state/limits.h
+++ b/state/limits.h
@@ -26,7 +26,7 @@
 constexpr std::chrono::milliseconds heartbeat_interval{300};
 constexpr std::chrono::milliseconds connection_silence_timeout{900};
 
-// Time for which an agent keeps runs going without contact to their owner. It is longer than the restart of
+// Time for which an agent lets runs continue without contact to their owner. It is longer than the restart of
 // an entry, so that the successor still finds the runs. It is not longer, because a successor that cannot
 // reach the agent must wait until this time has passed.
 constexpr std::chrono::milliseconds owner_contact_lease{1800};
@@ -35,7 +35,7 @@
 // another value.
 constexpr std::chrono::milliseconds default_caller_resend_delay{1300};
 
-// Same as owner_contact_lease, for best-effort jobs. The runs must have ended before the caller resends the
+// Same as owner_contact_lease, for non-durable jobs. The runs must have ended before the caller resends the
 // job. stop_allowance covers a stop order that is lost twice, its execution and the network delays. With a
 // lease below min_lease, an entry that is busy for a moment would lose its runs.
 constexpr std::chrono::milliseconds caller_contact_lease(std::chrono::milliseconds caller_resend_delay) {
--- a/state/queue_policy.h
+++ b/state/queue_policy.h
@@ -16,7 +16,7 @@
     std::string service;
     // Number of failed runs of one task after which the job fails.
     std::uint32_t max_attempts = 1;
-    // 0 is the highest priority.
+    // 0 is the highest priority. Read from the configuration, but not used for scheduling.
     std::uint32_t priority = 0;
     // A job meets its target if it takes no longer than stretch times its critical path, plus slack.
     double max_stretch = 1;
--- a/state/recorded_run_ends.h
+++ b/state/recorded_run_ends.h
@@ -6,8 +6,8 @@
 
 namespace persimmonstile {
 
-// Owner to agent: the results of these ended runs are in the store, or are no longer needed. The agent may
-// now acknowledge the ends to the backend server, which then forgets them.
+// Owner to agent: the agent may now acknowledge these ends of runs to the backend server, which then forgets
+// them, because the results are in the store or are no longer needed.
 struct recorded_run_ends {
     // Lifetime of the backend server that listed the ends, as in backend_profile::life.
     std::uint64_t backend_life = 0;
--- a/state/run_refusal.h
+++ b/state/run_refusal.h
@@ -9,7 +9,8 @@
 //   none: the agent neither refused nor ended the run
 //   owner_deposed: another session has succeeded the owner
 //   owner_silent: no contact with the owner for too long, or no caller waits for the job any longer
-//   no_backend: the backend server is unknown or unreachable, or has lost the run
+//   no_backend: the backend server is unknown or unreachable, or has lost the run, or the agent does not know
+//     yet which runs the backend server has
 //   draining: the agent or the backend server is shutting down
 //   zone_out: the availability zone is out of service
 //   no_room: not enough free capacity within the queue timeout, or according to the backend server
@@ -17,7 +18,8 @@
 //   unhealthy_backend: the backend server refused the run for now
 //   invalid_order: the backend server could not interpret the start order
 //   stalled: the run made no progress
-//   withdrawn: the owner requested the stop
+//   withdrawn: the owner requested the stop; also any other requested stop (for instance owner_silent) of a
+//     run whose start order was not executed
 enum class run_refusal : std::uint8_t {
     none,
     owner_deposed,
--- a/state/service_capacity.h
+++ b/state/service_capacity.h
@@ -6,7 +6,7 @@
 
 namespace persimmonstile {
 
-// Number of slots that the backend server beside an agent announced for one service.
+// Number of slots that the backend server on the machine of an agent announced for one service.
 struct service_capacity {
     std::string service;
     std::uint32_t slots = 0;
--- a/state/session_adoption.h
+++ b/state/session_adoption.h
@@ -7,7 +7,7 @@
 
 namespace persimmonstile {
 
-// Stored record of a session takeover: the jobs of the deposed session now belong to the successor.
+// Stored record of an adoption: the jobs of the deposed session (former) now belong to the successor.
 struct session_adoption {
     incarnation former;
     incarnation successor;
--- a/state/store_call.h
+++ b/state/store_call.h
@@ -61,7 +61,7 @@
     static constexpr auto members() { return std::make_tuple(&lease_open::time_to_live_ms); }
 };
 
-// Extends a lease by its time to live.
+// Renews a lease for its full time to live.
 struct lease_renew {
     std::uint64_t lease = 0;
 
--- a/state/table_push.h
+++ b/state/table_push.h
@@ -6,7 +6,7 @@
 
 namespace persimmonstile {
 
-// Sends the owner table to a process that has an older version.
+// Entry to agent or agent to entry: the owner table of the sender, for a receiver that has an older version.
 struct table_push {
     owner_table table;
 
--- a/state/uuid_time.cpp
+++ b/state/uuid_time.cpp
@@ -44,6 +44,7 @@
         return std::nullopt;
     if (job[version_position] != '7' || !is_rfc_variant(job[variant_position]))
         return std::nullopt;
+    // The first 48 bits hold the time in milliseconds since 1970.
     const std::string timestamp_digits = job.substr(0, 8) + job.substr(9, 4);
     std::int64_t unix_ms = 0;
     std::from_chars(timestamp_digits.data(), timestamp_digits.data() + timestamp_digits.size(), unix_ms, 16);
